--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -1,5 +1,5 @@
-// Package front takes the platform's clients: it reads their requests, hands them to the core and writes the answers.
-// Which connections are kept, closed or turned away is decided by package seats.
+// Package front serves the platform's HTTP clients: it reads their requests, passes them to the core and writes the
+// answers. Package seats decides which connections are kept, closed or rejected.
 package front
 
 import (
@@ -21,8 +21,8 @@
 	"go.uber.org/zap"
 )
 
-// Taker is who takes requests.
-type Taker interface {
+// RequestHandler processes the requests that a [Front] has read.
+type RequestHandler interface {
 	Now() logic.Micros
 	Take(r *core.Request)
 	Gone(r *core.Request)
@@ -34,49 +34,49 @@
 type Front struct {
 	listener net.Listener
 	service  *Service
-	taker    Taker
+	handler  RequestHandler
 	log      *zap.Logger
 	ready    atomic.Bool
-	seed     maphash.Seed
-
-	mu    sync.Mutex // never held while the taker is called
-	seats *seats.Table
-	leave *leave.Leave
-	open  map[uint64]struct{} // ids of requests that are held, hashed
-	tally Tally
-	swept *time.Timer
-	last  bool          // nothing more is taken
-	ended bool          // no more connections are
-	woken chan struct{} // closed when connections that rest are listened to again
-	room  int           // as the taker was told
-	wait  sync.WaitGroup
+	hashSeed maphash.Seed
+
+	mu         sync.Mutex // never held during a call of the handler
+	seats      *seats.Table
+	shutdown   *leave.Leave
+	openIDs    map[uint64]struct{} // hashes of the ids of requests that the handler has not answered
+	tally      Tally
+	sweepTimer *time.Timer
+	closing    bool          // no further requests are accepted
+	closed     bool          // no further connections are accepted
+	wakeUp     chan struct{} // closed and replaced when paused connections are to be read again
+	capacity   int           // number of requests last reported to the handler
+	goroutines sync.WaitGroup
 }
 
-// Tally counts what the front has seen.
+// Tally counts the requests that were taken, those that were rejected and the clients that left before their answer.
 type Tally struct {
 	Taken, Rejected, Left uint64
 	Seats                 seats.Tally
 }
 
-// sendBuffer is what the kernel holds of answers for a client that does not read; left alone that grows to megabytes
-// each, which count as the initiator's memory.
-const sendBuffer = 16 << 10
+// sendBufferSize limits the unread answers that the kernel buffers per client, in bytes. Without it, the kernel grows
+// the buffer of a client that does not read to megabytes, which count as the initiator's memory.
+const sendBufferSize = 16 << 10
 
-// sweep is how often connections are looked through.
-const sweep = 100 * time.Millisecond
+// sweepInterval is the interval at which connections are checked for timeouts.
+const sweepInterval = 100 * time.Millisecond
 
-// New serves the clients of a listener.
-func New(l net.Listener, s *Service, t Taker, table *seats.Table, end *leave.Leave, log *zap.Logger) *Front {
-	f := &Front{listener: l, service: s, taker: t, seats: table, leave: end, log: log, open: map[uint64]struct{}{}, seed: maphash.MakeSeed(), woken: make(chan struct{})}
-	f.swept = time.AfterFunc(sweep, f.sweep)
-	f.tellRoom()
+// New returns a front for the clients of listener. [Front.Serve] accepts connections.
+func New(listener net.Listener, service *Service, handler RequestHandler, table *seats.Table, shutdown *leave.Leave, log *zap.Logger) *Front {
+	f := &Front{listener: listener, service: service, handler: handler, seats: table, shutdown: shutdown, log: log, openIDs: map[uint64]struct{}{}, hashSeed: maphash.MakeSeed(), wakeUp: make(chan struct{})}
+	f.sweepTimer = time.AfterFunc(sweepInterval, f.sweep)
+	f.reportCapacity()
 	return f
 }
 
-// Ready makes the front answer that it may be put in use.
+// Ready makes the health check succeed.
 func (f *Front) Ready() { f.ready.Store(true) }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (f *Front) Serve() error {
 	for {
 		raw, err := f.listener.Accept()
@@ -84,27 +84,28 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			// Out of descriptors, or a connection that broke before it was taken.
-			f.log.Warn("no connection taken", zap.Error(err))
+			// Out of file descriptors, or the connection broke before it was accepted.
+			f.log.Warn("accept failed", zap.Error(err))
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		raw.(*net.TCPConn).SetWriteBuffer(sendBuffer)
+		raw.(*net.TCPConn).SetWriteBuffer(sendBufferSize)
 		conn, err := sock.New(raw.(*net.TCPConn))
 		if err != nil {
 			raw.Close()
 			continue
 		}
-		c := &client{f: f, conn: conn}
-		// Bytes leave its socket only under the lock, so that whoever ends a connection knows whether something was read.
-		conn.Guard(&f.mu, c.spoke)
-		now := f.taker.Now()
+		c := &client{front: f, conn: conn}
+		// Bytes are read from the socket only under the lock, so that code that closes a connection knows whether any
+		// were read.
+		conn.Guard(&f.mu, c.noteRead)
+		now := f.handler.Now()
 		f.mu.Lock()
-		seat, out := f.seats.Take(now, c)
-		if out != nil {
-			out.Owner.(*client).conn.Shut()
+		seat, evicted := f.seats.Take(now, c)
+		if evicted != nil {
+			evicted.Owner.(*client).conn.Shut()
 		}
-		if c.seat = seat; seat == nil || f.ended {
+		if c.seat = seat; seat == nil || f.closed {
 			if seat != nil {
 				f.seats.Leave(seat)
 			}
@@ -112,47 +113,48 @@
 			conn.Close()
 			continue
 		}
-		f.wait.Go(c.serve)
+		f.goroutines.Go(c.serve)
 		f.mu.Unlock()
 	}
 }
 
-// Drain says that the front is to end; it goes on serving until [Front.Over].
+// Drain begins the shutdown. The front goes on serving until [Front.Over] reports true.
 func (f *Front) Drain() {
 	f.mu.Lock()
-	f.leave.Told(f.taker.Now())
+	f.shutdown.Told(f.handler.Now())
 	f.seats.Ending()
-	close(f.woken)
-	f.woken = make(chan struct{})
-	taken, by := f.seats.Taken(), f.leave.Till()
+	close(f.wakeUp)
+	f.wakeUp = make(chan struct{})
+	connections, deadline := f.seats.Taken(), f.shutdown.Till()
 	f.mu.Unlock()
-	f.taker.End(by)
-	f.tellRoom()
-	f.log.Info("told to end", zap.Int("connections", taken))
+	f.handler.End(deadline)
+	f.reportCapacity()
+	f.log.Info("told to end", zap.Int("connections", connections))
 }
 
-// Over tells whether the front may be closed after Drain; from then on it takes nothing more.
+// Over reports whether the front may be closed after Drain. Once it has reported true, no further requests are accepted.
 func (f *Front) Over() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.last = f.last || f.leave.Over(f.taker.Now(), f.seats.Taken(), f.seats.Busy())
-	return f.last
+	f.closing = f.closing || f.shutdown.Over(f.handler.Now(), f.seats.Taken(), f.seats.Busy())
+	return f.closing
 }
 
-// Close ends the listener and all connections; requests must have been answered. Clients have a moment to read what
-// was answered last, and those whose request crossed the end of their connection are told so when they send it again:
-// a close over what they have just sent would reset the connection under both.
+// Close closes the listener and all connections; all requests must have been answered. Before it closes them it waits
+// for the time that package leave sets, so that clients can read their last answers, and a client whose request crossed
+// the close of its connection is refused with a 503 when it sends the request again. Closing a connection with unread
+// input at once would reset it, which would lose both.
 func (f *Front) Close() {
-	now := f.taker.Now()
+	now := f.handler.Now()
 	f.mu.Lock()
-	f.last = true
-	f.swept.Stop()
-	close(f.woken)
-	f.woken = make(chan struct{})
+	f.closing = true
+	f.sweepTimer.Stop()
+	close(f.wakeUp)
+	f.wakeUp = make(chan struct{})
 	for _, s := range f.seats.All() {
 		switch c := s.Owner.(*client); s.State() {
 		case seats.Speaking, seats.Resuming:
-			c.conn.TryWrite(appendError(nil, &reject{503, "ending"}))
+			c.conn.TryWrite(appendError(nil, &rejectError{503, "ending"}))
 			c.linger(now)
 		case seats.Idle:
 			if !c.conn.Waiting() {
@@ -160,44 +162,44 @@
 			}
 		}
 	}
-	left := f.seats.Taken()
+	remaining := f.seats.Taken()
 	f.mu.Unlock()
-	if left > 0 {
+	if remaining > 0 {
 		time.Sleep(time.Duration(leave.LastLook) * time.Microsecond)
 	}
 	f.listener.Close()
 	f.mu.Lock()
-	f.ended = true
+	f.closed = true
 	for _, s := range f.seats.All() {
 		f.seats.Leave(s)
 		s.Owner.(*client).conn.Shut()
 	}
 	f.mu.Unlock()
-	f.wait.Wait()
+	f.goroutines.Wait()
 }
 
 func (f *Front) sweep() {
 	f.mu.Lock()
-	if f.last {
+	if f.closing {
 		f.mu.Unlock()
 		return
 	}
-	f.endOverdue(f.taker.Now())
-	f.swept.Reset(sweep)
+	f.closeOverdue(f.handler.Now())
+	f.sweepTimer.Reset(sweepInterval)
 	f.mu.Unlock()
-	f.tellRoom()
+	f.reportCapacity()
 }
 
-// endOverdue ends the connections that have taken too long. Under the lock.
-func (f *Front) endOverdue(now logic.Micros) {
+// closeOverdue ends the connections whose time is up. The caller holds the lock.
+func (f *Front) closeOverdue(now logic.Micros) {
 	for s := f.seats.Overdue(now); s != nil; s = f.seats.Overdue(now) {
 		switch c := s.Owner.(*client); s.State() {
 		case seats.Speaking, seats.Resuming:
-			c.conn.TryWrite(appendError(nil, &reject{408, "the request does not end"}))
+			c.conn.TryWrite(appendError(nil, &rejectError{408, "the request does not end"}))
 			c.linger(now)
 		case seats.Idle:
 			if c.conn.Waiting() {
-				f.seats.Move(now, s, seats.Resuming) // a request has come in this moment
+				f.seats.Move(now, s, seats.Resuming) // a request has just arrived
 			} else {
 				c.linger(now)
 			}
@@ -208,112 +210,112 @@
 	}
 }
 
-// tellRoom tells the taker how many requests it may hold, when that has changed.
-func (f *Front) tellRoom() {
+// reportCapacity tells the handler how many requests it may hold, if that has changed.
+func (f *Front) reportCapacity() {
 	f.mu.Lock()
-	room := f.seats.Room(f.taker.Now())
-	changed := room != f.room
-	f.room = room
+	capacity := f.seats.Room(f.handler.Now())
+	changed := capacity != f.capacity
+	f.capacity = capacity
 	f.mu.Unlock()
 	if changed {
-		f.taker.Room(room)
+		f.handler.Room(capacity)
 	}
 }
 
-// client is one connection. Its goroutine closes it; whoever holds the lock only shuts it, as closing waits for a reader
-// that may wait for the lock.
+// client is one connection. Only its own goroutine closes it. Code that holds the lock calls [sock.Conn.Shut] instead,
+// as Close waits for the reader, which may be waiting for the lock.
 type client struct {
-	f    *Front
-	conn *sock.Conn
-	seat *seats.Seat
-	req  core.Request
-
-	// Under the front's lock.
-	held   bool // the taker has the request
-	id     uint64
-	what   uint64
-	rest   logic.Micros
-	rested logic.Micros // for how long the request at hand has waited to be read
-	ending bool         // closes after its answer: asked for, or more was sent than may be
-	left   bool         // the client has closed
-	out    []byte
-	sent   chan struct{} // closed when an answer that the client is slow to take has left; nil: there is none
+	front   *Front
+	conn    *sock.Conn
+	seat    *seats.Seat
+	request core.Request
+
+	// The fields below are guarded by the front's lock.
+	held             bool // the handler has the request
+	idHash           uint64
+	targetHash       uint64
+	pause            logic.Micros
+	readDelay        logic.Micros // time for which the current request waited to be read
+	closeAfterAnswer bool         // the client asked for it, or sent data behind its request
+	disconnected     bool         // the client has closed the connection, or it broke
+	outBuf           []byte
+	flushed          chan struct{} // closed once the pending rest of an answer was written; nil: none
 }
 
-// serve reads requests one after the other.
+// serve reads requests one at a time until the connection ends.
 func (c *client) serve() {
-	defer c.end()
-	f := c.f
+	defer c.close()
+	f := c.front
 	r := http1.NewReader(c.conn)
-	r.Grant = c.hold
+	r.Grant = c.reserveBody
 	var m http1.Message
-	for c.next(r) {
+	for c.awaitRequest(r) {
 		err := r.Request(&m)
-		now := f.taker.Now()
+		now := f.handler.Now()
 		if err != nil {
-			var odd *http1.Error
-			if errors.As(err, &odd) {
-				c.reject(now, &reject{odd.Status, odd.What})
+			var protocolErr *http1.Error
+			if errors.As(err, &protocolErr) {
+				c.reject(now, &rejectError{protocolErr.Status, protocolErr.What})
 			}
 			return
 		}
 		if string(m.Method) == "GET" && string(m.Target) == f.service.Health {
-			if !c.health(now) {
+			if !c.answerHealth(now) {
 				return
 			}
 			continue
 		}
-		if why := f.service.read(&m, &c.req); why != nil {
-			c.reject(now, why)
+		if rejection := f.service.parseRequest(&m, &c.request); rejection != nil {
+			c.reject(now, rejection)
 			return
 		}
 		if r.Buffered() > 0 {
-			c.reject(now, &reject{400, "more than one request at a time"})
+			c.reject(now, &rejectError{400, "more than one request at a time"})
 			return
 		}
-		why, gone := c.take(now, m.Close)
-		if gone {
+		rejection, disconnected := c.register(now, m.Close)
+		if disconnected {
 			return
 		}
-		if why != nil {
-			c.reject(now, why)
+		if rejection != nil {
+			c.reject(now, rejection)
 			return
 		}
-		f.taker.Take(&c.req)
-		if !c.watch(r) {
+		f.handler.Take(&c.request)
+		if !c.awaitAnswer(r) {
 			return
 		}
 	}
 }
 
-// spoke notes that something of the client was read, or its end. Under the lock.
-func (c *client) spoke() {
+// noteRead records that data or the end of the stream was read from the client. The caller holds the lock.
+func (c *client) noteRead() {
 	switch c.seat.State() {
 	case seats.Silent:
-		c.f.seats.Move(c.f.taker.Now(), c.seat, seats.Speaking)
+		c.front.seats.Move(c.front.handler.Now(), c.seat, seats.Speaking)
 	case seats.Idle:
-		c.f.seats.Move(c.f.taker.Now(), c.seat, seats.Resuming)
+		c.front.seats.Move(c.front.handler.Now(), c.seat, seats.Resuming)
 	}
 }
 
-// next waits for the first byte of a request; false: the connection is over.
-func (c *client) next(r *http1.Reader) bool {
-	f := c.f
+// awaitRequest waits for the first byte of a request. It reports false when the connection has ended.
+func (c *client) awaitRequest(r *http1.Reader) bool {
+	f := c.front
 	f.mu.Lock()
-	rest, woken := c.rest, f.woken
-	c.rest, c.rested = 0, 0
+	pause, wakeUp := c.pause, f.wakeUp
+	c.pause, c.readDelay = 0, 0
 	f.mu.Unlock()
-	if rest > 0 {
-		begun := f.taker.Now()
-		pause := time.NewTimer(time.Duration(rest) * time.Microsecond)
+	if pause > 0 {
+		start := f.handler.Now()
+		timer := time.NewTimer(time.Duration(pause) * time.Microsecond)
 		select {
-		case <-pause.C:
-		case <-woken:
-			pause.Stop()
+		case <-timer.C:
+		case <-wakeUp:
+			timer.Stop()
 		}
 		f.mu.Lock()
 		if r.Buffered() > 0 || c.conn.Waiting() {
-			c.rested = f.taker.Now() - begun // who comes back at once has waited since
+			c.readDelay = f.handler.Now() - start // the request may have been waiting since the pause began
 		}
 		f.mu.Unlock()
 	}
@@ -321,115 +323,117 @@
 		return false
 	}
 	f.mu.Lock()
-	c.spoke() // also where its bytes came with those before
-	over := c.seat.Over()
+	c.noteRead() // the bytes may have been read together with earlier ones
+	closed := c.seat.Over()
 	f.mu.Unlock()
-	if over {
-		c.drain() // it crossed the end of the connection: nothing of it is taken
+	if closed {
+		c.discardInput() // the request crossed the end of the connection: none of it is processed
 	}
-	return !over
+	return !closed
 }
 
-// hold takes room for a body.
-func (c *client) hold(n int) bool {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	return c.f.seats.Hold(c.seat, n)
+// reserveBody reserves memory for a body of n bytes and reports whether there is enough.
+func (c *client) reserveBody(n int) bool {
+	c.front.mu.Lock()
+	defer c.front.mu.Unlock()
+	return c.front.seats.Hold(c.seat, n)
 }
 
-// take books a request in, unless its client has left already: one that rested, or is read late, may have.
-func (c *client) take(now logic.Micros, last bool) (why *reject, gone bool) {
-	f := c.f
-	id := maphash.Bytes(f.seed, c.req.ID)
-	what := maphash.Bytes(f.seed, c.req.Target)
+// register admits the current request. It fails with a rejection, or reports that the client has already disconnected,
+// which may happen when the connection was paused or the request is read late.
+func (c *client) register(now logic.Micros, closeAfterAnswer bool) (rejection *rejectError, disconnected bool) {
+	f := c.front
+	idHash := maphash.Bytes(f.hashSeed, c.request.ID)
+	targetHash := maphash.Bytes(f.hashSeed, c.request.Target)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.conn.Ended() {
 		f.tally.Left++
 		return nil, true
 	}
-	room, ok := f.leave.Room(now, c.req.Left)
-	if !ok || f.last {
-		return &reject{503, "ending"}, false
+	timeLeft, ok := f.shutdown.Room(now, c.request.Left)
+	if !ok || f.closing {
+		return &rejectError{503, "ending"}, false
 	}
-	c.req.Left = max(min(room, c.req.Left-c.rested), 1)
-	if _, open := f.open[id]; open {
-		return &reject{409, "a request with that id is open"}, false
+	c.request.Left = max(min(timeLeft, c.request.Left-c.readDelay), 1)
+	if _, duplicate := f.openIDs[idHash]; duplicate {
+		return &rejectError{409, "a request with that id is open"}, false
 	}
-	if c.rest, ok = f.seats.Ask(now, c.seat, what); !ok {
-		return &reject{503, "no room for another request"}, false
+	if c.pause, ok = f.seats.Ask(now, c.seat, targetHash); !ok {
+		return &rejectError{503, "no room for another request"}, false
 	}
-	f.open[id] = struct{}{}
-	c.id, c.what, c.held, c.ending = id, what, true, last
-	c.req.Front = c
+	f.openIDs[idHash] = struct{}{}
+	c.idHash, c.targetHash, c.held, c.closeAfterAnswer = idHash, targetHash, true, closeAfterAnswer
+	c.request.Front = c
 	f.tally.Taken++
 	return nil, false
 }
 
-// mostEarly bounds what a client may send behind a request that is held, or behind its last answer; it is read, as
-// nothing else shows that the client has left, and thrown away. Who sends more is taken for gone.
-const mostEarly = 256 << 10
+// maxUnexpectedInput is the number of bytes that a client may send after a request that has not been answered, or after
+// the last answer on its connection. They are read and discarded, because only reading shows that the client has
+// disconnected. A client that sends more is treated as disconnected.
+const maxUnexpectedInput = 256 << 10
 
-// watch waits until the request was answered and the next one begins, or the client leaves; false: this goroutine
-// has no more to do.
-func (c *client) watch(r *http1.Reader) bool {
-	f := c.f
+// awaitAnswer waits until the request was answered and the next one begins, or the client disconnects. It reports false
+// when the calling goroutine has nothing more to do.
+func (c *client) awaitAnswer(r *http1.Reader) bool {
+	f := c.front
 	err := r.Wait()
-	var early []byte
+	var discard []byte
 	for n := r.Buffered(); ; {
 		f.mu.Lock()
 		if !c.held {
 			break
 		}
-		// It has left, or speaks out of turn: its connection ends with its answer, which says that what is behind the
-		// request was not taken.
-		c.ending = true
-		if err != nil || n > mostEarly {
-			c.left = err != nil
+		// The client has disconnected, or sent data before its answer. Its connection ends with the answer, which tells
+		// the client that what it sent after the request was not processed.
+		c.closeAfterAnswer = true
+		if err != nil || n > maxUnexpectedInput {
+			c.disconnected = err != nil
 			f.tally.Left++
 			f.mu.Unlock()
-			f.taker.Gone(&c.req)
+			f.handler.Gone(&c.request)
 			if err == nil {
-				c.drain()
+				c.discardInput()
 			}
 			return false
 		}
 		f.mu.Unlock()
-		if early == nil {
-			early = make([]byte, 4<<10)
+		if discard == nil {
+			discard = make([]byte, 4<<10)
 		}
 		var k int
-		k, err = c.conn.Read(early)
+		k, err = c.conn.Read(discard)
 		n += k
 	}
-	sent := c.sent
+	flushed := c.flushed
 	f.mu.Unlock()
-	if sent != nil {
-		// Nothing else may be written, nor the core wait for it, before the answer has left.
-		<-sent
+	if flushed != nil {
+		// Until the answer was written, nothing else may be written, and the core must not wait for it.
+		<-flushed
 	}
 	if err != nil {
 		return false
 	}
-	if early != nil {
-		c.drain()
+	if discard != nil {
+		c.discardInput()
 		return false
 	}
 	return true
 }
 
-// linger ends the connection for writing, so that the client reads all that was answered, and has [client.drain] take
-// what still comes. Under the lock.
+// linger closes the connection for writing, so that the client can read all answers, while [client.discardInput] reads
+// what still arrives. The caller holds the lock.
 func (c *client) linger(now logic.Micros) {
 	c.conn.CloseWrite()
-	c.f.seats.Move(now, c.seat, seats.Lingering)
+	c.front.seats.Move(now, c.seat, seats.Lingering)
 }
 
-// drain throws away what comes on a connection that lingers, until the client closes it, sends too much, or its time
-// is up. What came behind the end was not read before it, so its client sends it again.
-func (c *client) drain() {
+// discardInput discards what arrives on a lingering connection until the client closes it, sends too much, or its time is
+// up. A request that arrives after the close for writing was not processed, so the client sends it again.
+func (c *client) discardInput() {
 	b := make([]byte, 4<<10)
-	for n := 0; n < mostEarly; {
+	for n := 0; n < maxUnexpectedInput; {
 		k, err := c.conn.Read(b)
 		if err != nil {
 			break
@@ -440,118 +444,122 @@
 
 // Answer implements [core.Front].
 func (c *client) Answer(now logic.Micros, r *core.Request, a core.Answer) {
-	f := c.f
+	f := c.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.held = false
-	delete(f.open, c.id)
+	delete(f.openIDs, c.idHash)
 	f.seats.Free(c.seat)
 	if a.Verdict == core.Refused {
-		f.seats.Refused(now, c.seat, c.what)
+		f.seats.Refused(now, c.seat, c.targetHash)
 	}
-	last := c.ending || f.leave.Last(now) || f.seats.Last(c.seat)
-	c.out = appendHead(c.out[:0], a, last)
-	var rest []byte
+	closeAfter := c.closeAfterAnswer || f.shutdown.Last(now) || f.seats.Last(c.seat)
+	c.outBuf = appendHead(c.outBuf[:0], a, closeAfter)
+	var unsent []byte
 	n, err := 0, error(nil)
 	if !a.Kept {
-		c.out = append(c.out, a.Body...)
+		c.outBuf = append(c.outBuf, a.Body...)
 	}
-	if n, err = c.conn.TryWrite(c.out); err == nil && n == len(c.out) && a.Kept {
+	if n, err = c.conn.TryWrite(c.outBuf); err == nil && n == len(c.outBuf) && a.Kept {
 		n, err = c.conn.TryWrite(a.Body)
-		rest = a.Body[n:]
+		unsent = a.Body[n:]
 	} else if a.Kept {
-		rest = append(append(rest, c.out[n:]...), a.Body...)
+		unsent = append(append(unsent, c.outBuf[n:]...), a.Body...)
 	} else {
-		rest = append(rest, c.out[n:]...)
+		unsent = append(unsent, c.outBuf[n:]...)
 	}
-	if cap(c.out) > keepOut {
-		c.out = nil
+	if cap(c.outBuf) > maxKeptBuffer {
+		c.outBuf = nil
 	}
-	if err == nil && len(rest) > 0 {
-		// What a client is slow to take is held within the room for bodies; else it is cut, so that it can tell.
-		if f.seats.Hold(c.seat, len(rest)) {
+	if err == nil && len(unsent) > 0 {
+		// The unsent part of an answer counts against the memory for bodies. Without enough memory the answer is cut
+		// short, which the client can detect.
+		if f.seats.Hold(c.seat, len(unsent)) {
 			f.seats.Move(now, c.seat, seats.Sending)
-			c.sent = make(chan struct{})
-			f.wait.Go(func() { c.finish(rest, last) })
+			c.flushed = make(chan struct{})
+			f.goroutines.Go(func() { c.flushAnswer(unsent, closeAfter) })
 			return
 		}
-		last = true
+		closeAfter = true
 	}
-	c.left = c.left || err != nil
-	c.answered(now, last)
+	c.disconnected = c.disconnected || err != nil
+	c.answerSent(now, closeAfter)
 }
 
-// keepOut is the largest buffer that a connection keeps for its answers.
-const keepOut = 2 << 10
+// maxKeptBuffer is the size of the largest answer buffer that a connection keeps for its next answer.
+const maxKeptBuffer = 2 << 10
 
-// answered says that the answer has left. Under the lock.
-func (c *client) answered(now logic.Micros, last bool) {
+// answerSent closes the connection or prepares it for the next request after an answer was written. The caller holds the
+// lock.
+func (c *client) answerSent(now logic.Micros, closeAfter bool) {
 	switch {
-	case c.left:
-		c.f.seats.Leave(c.seat)
+	case c.disconnected:
+		c.front.seats.Leave(c.seat)
 		c.conn.Shut()
-	case last:
+	case closeAfter:
 		c.linger(now)
 	default:
-		c.f.seats.Move(now, c.seat, seats.Idle)
+		c.front.seats.Move(now, c.seat, seats.Idle)
 	}
 }
 
-// finish writes what the socket did not take at once.
-func (c *client) finish(b []byte, last bool) {
-	f := c.f
-	_, err := c.conn.Write(b) // seats ends the connection where it takes too long
+// flushAnswer writes the part of an answer that the socket did not take at once.
+func (c *client) flushAnswer(unsent []byte, closeAfter bool) {
+	f := c.front
+	_, err := c.conn.Write(unsent) // package seats ends the connection if this takes too long
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c.left = c.left || err != nil
-	c.answered(f.taker.Now(), last)
-	close(c.sent)
-	c.sent = nil
+	c.disconnected = c.disconnected || err != nil
+	c.answerSent(f.handler.Now(), closeAfter)
+	close(c.flushed)
+	c.flushed = nil
 }
 
-// health answers whether the front may be put in use; false: the connection is over.
-func (c *client) health(now logic.Micros) bool {
-	f := c.f
+// answerHealth answers a health check: whether the front is ready for requests. It reports false when the connection has
+// ended.
+func (c *client) answerHealth(now logic.Micros) bool {
+	f := c.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	text := healthy
-	if !f.ready.Load() || f.leave.Last(now) {
-		text = unwell
-	}
-	n, err := c.conn.TryWrite(text)
-	c.left = err != nil || n < len(text)
-	c.answered(now, false)
-	return !c.left
+	answer := healthyAnswer
+	if !f.ready.Load() || f.shutdown.Last(now) {
+		answer = unhealthyAnswer
+	}
+	n, err := c.conn.TryWrite(answer)
+	c.disconnected = err != nil || n < len(answer)
+	c.answerSent(now, false)
+	return !c.disconnected
 }
 
-// reject answers what cannot be taken and ends the connection, with time for the client to read why.
-func (c *client) reject(now logic.Micros, why *reject) {
-	f := c.f
+// reject answers a request that cannot be processed and ends the connection. The connection lingers, so that the client
+// can read the answer.
+func (c *client) reject(now logic.Micros, rejection *rejectError) {
+	f := c.front
 	f.mu.Lock()
 	f.tally.Rejected++
-	f.log.Debug("rejected", zap.String("why", why.why))
-	if !c.seat.Over() { // else it was told so
-		c.conn.TryWrite(appendError(c.out[:0], why))
+	f.log.Debug("rejected", zap.String("why", rejection.reason))
+	if !c.seat.Over() { // otherwise the connection is being closed already
+		c.conn.TryWrite(appendError(c.outBuf[:0], rejection))
 		c.linger(now)
 	}
 	f.mu.Unlock()
-	c.drain()
+	c.discardInput()
 }
 
-// end closes the connection.
-func (c *client) end() {
-	c.f.mu.Lock()
-	c.f.seats.Leave(c.seat)
-	c.f.mu.Unlock()
+// close frees the seat and closes the connection.
+func (c *client) close() {
+	c.front.mu.Lock()
+	c.front.seats.Leave(c.seat)
+	c.front.mu.Unlock()
 	c.conn.Close()
 }
 
 var (
-	healthy = []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	unwell  = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+	healthyAnswer   = []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	unhealthyAnswer = []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 )
 
-func appendHead(b []byte, a core.Answer, last bool) []byte {
+func appendHead(b []byte, a core.Answer, closeAfter bool) []byte {
 	switch {
 	case a.Verdict == core.Served:
 		b = append(b, "HTTP/1.1 200 OK\r\n"...)
@@ -567,7 +575,7 @@
 		b = strconv.AppendFloat(b, float64(a.CoolDown)/1e6, 'f', 3, 64)
 		b = append(b, "\r\n"...)
 	}
-	if last {
+	if closeAfter {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(b, "Content-Length: "...)
@@ -575,16 +583,16 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-func appendError(b []byte, r *reject) []byte {
+func appendError(b []byte, r *rejectError) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.status), 10)
 	b = append(b, " Rejected\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(r.why)), 10)
+	b = strconv.AppendInt(b, int64(len(r.reason)), 10)
 	b = append(b, "\r\n\r\n"...)
-	return append(b, r.why...)
+	return append(b, r.reason...)
 }
 
-// Tally tells the counts so far.
+// Tally returns the current counts.
 func (f *Front) Tally() Tally {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -593,7 +601,7 @@
 	return t
 }
 
-// Connections tells how many clients are connected.
+// Connections returns the number of open client connections.
 func (f *Front) Connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -21,67 +21,67 @@
 	"go.uber.org/zap"
 )
 
-const sec logic.Micros = 1000 * 1000
-
-// hand is a taker that leaves every choice, and the clock, to the test.
-type hand struct {
-	clock atomic.Int64
-	took  chan *core.Request
-	gone  chan *core.Request
-	end   chan logic.Micros
+const second logic.Micros = 1000 * 1000
+
+// fakeHandler is a RequestHandler whose calls and clock the test controls.
+type fakeHandler struct {
+	clock    atomic.Int64
+	taken    chan *core.Request
+	departed chan *core.Request
+	end      chan logic.Micros
 }
 
-func (h *hand) Now() logic.Micros    { return logic.Micros(h.clock.Load()) }
-func (h *hand) Take(r *core.Request) { h.took <- r }
-func (h *hand) Gone(r *core.Request) { h.gone <- r }
-func (h *hand) Room(int)             {}
-func (h *hand) End(by logic.Micros)  { h.end <- by }
-func (h *hand) pass(d logic.Micros)  { h.clock.Add(int64(d)) }
+func (h *fakeHandler) Now() logic.Micros      { return logic.Micros(h.clock.Load()) }
+func (h *fakeHandler) Take(r *core.Request)   { h.taken <- r }
+func (h *fakeHandler) Gone(r *core.Request)   { h.departed <- r }
+func (h *fakeHandler) Room(int)               {}
+func (h *fakeHandler) End(by logic.Micros)    { h.end <- by }
+func (h *fakeHandler) advance(d logic.Micros) { h.clock.Add(int64(d)) }
 
-// bed is a front on a real listener.
-type bed struct {
+// testFront is a front on a TCP listener.
+type testFront struct {
 	*testing.T
-	*hand
-	f    *Front
-	addr string
+	*fakeHandler
+	front *Front
+	addr  string
 }
 
-func newBed(t *testing.T) *bed {
+func newTestFront(t *testing.T) *testFront {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newBedOn(t, l)
+	return newTestFrontOn(t, l)
 }
 
-func newBedOn(t *testing.T, l net.Listener) *bed {
-	h := &hand{took: make(chan *core.Request, 100), gone: make(chan *core.Request, 100), end: make(chan logic.Micros, 1)}
-	h.pass(1000 * sec)
+func newTestFrontOn(t *testing.T, l net.Listener) *testFront {
+	h := &fakeHandler{taken: make(chan *core.Request, 100), departed: make(chan *core.Request, 100), end: make(chan logic.Micros, 1)}
+	h.advance(1000 * second)
 	s := &Service{Classes: map[string]int{"look": 0, "save": 1}, Plans: map[string]int{"gold": 0, "thin": 1},
 		Repeat: []logic.Repeat{logic.Retryable, logic.Dedup}, Cells: 4, Health: "/_health"}
-	b := &bed{T: t, hand: h, f: New(l, s, h, seats.New(seats.Limits{Seats: 20, Bodies: 1 << 20}), leave.New(3*sec), zap.NewNop()), addr: l.Addr().String()}
+	b := &testFront{T: t, fakeHandler: h, front: New(l, s, h, seats.New(seats.Limits{Seats: 20, Bodies: 1 << 20}), leave.New(3*second), zap.NewNop()), addr: l.Addr().String()}
 	served := make(chan error, 1)
-	go func() { served <- b.f.Serve() }()
+	go func() { served <- b.front.Serve() }()
 	t.Cleanup(func() {
-		b.f.Close()
+		b.front.Close()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		if n := len(b.f.open); n != 0 || b.f.seats.Taken() != 0 {
-			t.Errorf("%d ids, %d seats are held after the end", n, b.f.seats.Taken())
+		if n := len(b.front.openIDs); n != 0 || b.front.seats.Taken() != 0 {
+			t.Errorf("%d ids, %d seats are still held after Close", n, b.front.seats.Taken())
 		}
 	})
 	return b
 }
 
-// user is a client's connection.
-type user struct {
+// testClient is a client's connection.
+type testClient struct {
 	*net.TCPConn
 	t *testing.T
 	r *http1.Reader
 }
 
-func (b *bed) dial() *user {
+func (b *testFront) connect() *testClient {
 	b.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
@@ -89,18 +89,18 @@
 	}
 	b.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(30 * time.Second))
-	return &user{c.(*net.TCPConn), b.T, http1.NewReader(c)}
+	return &testClient{c.(*net.TCPConn), b.T, http1.NewReader(c)}
 }
 
-func (u *user) send(text string) {
+func (u *testClient) send(text string) {
 	u.t.Helper()
 	if _, err := io.WriteString(u, text); err != nil {
 		u.t.Fatal(err)
 	}
 }
 
-// answer wants an answer of that status, and gives its body.
-func (u *user) answer(status int) (string, *http1.Message) {
+// expectAnswer reads an answer, fails the test if its status differs, and returns its body.
+func (u *testClient) expectAnswer(status int) (string, *http1.Message) {
 	u.t.Helper()
 	m := new(http1.Message)
 	if err := u.r.Answer(m); err != nil || m.Status != status {
@@ -109,373 +109,375 @@
 	return string(m.Body), m
 }
 
-// ended wants the end of the connection without a reset.
-func (u *user) ended() {
+// expectEOF fails the test unless the connection ends without a reset.
+func (u *testClient) expectEOF() {
 	u.t.Helper()
 	if err := u.r.Wait(); err != io.EOF {
 		u.t.Fatalf("the connection ends with %v", err)
 	}
 }
 
-func ask(id, body string) string {
+func putRequest(id, body string) string {
 	return fmt.Sprintf("PUT /look/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: look\r\nX-Storage-Class: gold\r\n"+
 		"Request-Timeout: 2000m\r\nX-Extent: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func (b *bed) taken() *core.Request {
+func (b *testFront) nextTaken() *core.Request {
 	b.Helper()
 	select {
-	case r := <-b.took:
+	case r := <-b.taken:
 		return r
 	case <-time.After(20 * time.Second):
-		b.Fatal("never taken")
+		b.Fatal("no request was taken")
 		return nil
 	}
 }
 
-func (b *bed) left() *core.Request {
+func (b *testFront) nextGone() *core.Request {
 	b.Helper()
 	select {
-	case r := <-b.gone:
+	case r := <-b.departed:
 		return r
 	case <-time.After(20 * time.Second):
-		b.Fatal("its client has left, and nobody noticed")
+		b.Fatal("the disconnect of the client was not noticed")
 		return nil
 	}
 }
 
-// none wants that nothing was taken.
-func (b *bed) none() {
+// expectNothingTaken fails the test if a request was taken.
+func (b *testFront) expectNothingTaken() {
 	b.Helper()
 	select {
-	case r := <-b.took:
+	case r := <-b.taken:
 		b.Fatalf("%s was taken", r.ID)
 	default:
 	}
 }
 
-func (b *bed) serve(r *core.Request, body string) {
+func (b *testFront) answerOK(r *core.Request, body string) {
 	r.Front.Answer(b.Now(), r, core.Answer{Verdict: core.Served, Body: []byte(body)})
 }
 
-func (b *bed) until(what string, f func() bool) {
+func (b *testFront) waitUntil(what string, f func() bool) {
 	b.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		b.f.mu.Lock()
+		b.front.mu.Lock()
 		ok := f()
-		b.f.mu.Unlock()
+		b.front.mu.Unlock()
 		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			b.Fatal("never: " + what)
+			b.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// only gives the one client that is connected.
-func (b *bed) only() *client {
-	b.f.mu.Lock()
-	defer b.f.mu.Unlock()
-	all := b.f.seats.All()
+// onlyClient returns the only connected client.
+func (b *testFront) onlyClient() *client {
+	b.front.mu.Lock()
+	defer b.front.mu.Unlock()
+	all := b.front.seats.All()
 	if len(all) != 1 {
 		b.Fatalf("%d connections", len(all))
 	}
 	return all[0].Owner.(*client)
 }
 
-// A client that closes or resets while its request waits is noticed, also one that has sent more by then: its next
-// request, many, or a part of one. Reading stopped at the first byte behind the request, so that a close behind it
-// was never seen.
+// A client that closes or resets its connection while its request is held is noticed, also if it has sent more data
+// after the request: the next request, many, or a part of one. Guards against reading that stops at the first byte after
+// the request and so misses a close after that byte.
 func TestLeavesWhileItWaits(t *testing.T) {
-	for name, more := range map[string]string{"alone": "", "a byte": "P", "half a request": ask("2", "x")[:60], "the next": ask("2", "x"),
-		"many": strings.Repeat(ask("3", "data"), 500), "a flood": strings.Repeat("x", mostEarly+1)} {
+	for name, more := range map[string]string{"alone": "", "a byte": "P", "half a request": putRequest("2", "x")[:60], "the next": putRequest("2", "x"),
+		"many": strings.Repeat(putRequest("3", "data"), 500), "a flood": strings.Repeat("x", maxUnexpectedInput+1)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, " reset ", reset), func(t *testing.T) {
-				b := newBed(t)
-				u := b.dial()
-				u.send(ask("1", "x"))
-				r := b.taken()
-				c := b.only()
+				b := newTestFront(t)
+				u := b.connect()
+				u.send(putRequest("1", "x"))
+				r := b.nextTaken()
+				c := b.onlyClient()
 				if more != "" {
 					u.send(more)
-					b.until("the bytes behind it were noticed", func() bool { return c.ending })
+					b.waitUntil("the data after the request was noticed", func() bool { return c.closeAfterAnswer })
 				}
 				if reset {
 					u.SetLinger(0)
 				}
 				u.Close()
-				if g := b.left(); g != r {
-					t.Fatal("another one is said to have left")
+				if g := b.nextGone(); g != r {
+					t.Fatal("a different request was reported as gone")
 				}
-				b.none()
+				b.expectNothingTaken()
 				r.Front.Answer(b.Now(), r, core.Answer{Verdict: core.Failed})
-				b.until("its seat is free", func() bool { return b.f.seats.Taken() == 0 })
+				b.waitUntil("the seat is free", func() bool { return b.front.seats.Taken() == 0 })
 			})
 		}
 	}
 }
 
-// A request whose client has closed before it is read whole, as one may that rests, is not taken at all.
+// A request whose client disconnects before the request was read completely is not taken. This may happen while the
+// connection is paused.
 func TestLeftBeforeItIsRead(t *testing.T) {
-	b := newBed(t)
-	u := b.dial()
-	u.send(ask("0", "x"))
-	b.serve(b.taken(), "")
-	u.answer(200)
-	b.f.mu.Lock() // it reads nothing while both come
-	u.send(ask("1", "x"))
+	b := newTestFront(t)
+	u := b.connect()
+	u.send(putRequest("0", "x"))
+	b.answerOK(b.nextTaken(), "")
+	u.expectAnswer(200)
+	b.front.mu.Lock() // keeps the reader from reading until both have arrived
+	u.send(putRequest("1", "x"))
 	u.Close()
-	b.f.mu.Unlock()
-	b.until("its seat is free", func() bool { return b.f.seats.Taken() == 0 })
-	b.none()
+	b.front.mu.Unlock()
+	b.waitUntil("the seat is free", func() bool { return b.front.seats.Taken() == 0 })
+	b.expectNothingTaken()
 }
 
-// A final answer is read whole whatever its client has sent behind the request, and the end of the connection says that
-// this was not taken: a close over unread bytes would reset it, and the answer with it.
+// A client can read the whole last answer whatever it has sent after the request, and the end of the connection tells it
+// that this data was not processed. Guards against a close with unread input, which would reset the connection and lose
+// the answer.
 func TestAnswerOverUnreadBytes(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 4<<10)
-	for name, more := range map[string]string{"a byte": "x", "a request": ask("2", "x"), "a lot": strings.Repeat("x", 40<<10)} {
+	for name, more := range map[string]string{"a byte": "x", "a request": putRequest("2", "x"), "a lot": strings.Repeat("x", 40<<10)} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			u := b.dial()
-			u.send(ask("1", "x"))
-			r := b.taken()
-			c := b.only()
+			b := newTestFront(t)
+			u := b.connect()
+			u.send(putRequest("1", "x"))
+			r := b.nextTaken()
+			c := b.onlyClient()
 			u.send(more)
-			b.until("the bytes behind it were noticed", func() bool { return c.ending })
-			b.serve(r, body)
-			u.send(more) // and still more as it is answered
-			if got, m := u.answer(200); got != body || !m.Close {
+			b.waitUntil("the data after the request was noticed", func() bool { return c.closeAfterAnswer })
+			b.answerOK(r, body)
+			u.send(more) // and more while the answer is sent
+			if got, m := u.expectAnswer(200); got != body || !m.Close {
 				t.Fatalf("%d bytes, close %v", len(got), m.Close)
 			}
-			u.ended()
-			b.none()
+			u.expectEOF()
+			b.expectNothingTaken()
 		})
 	}
 }
 
-// What is told to end, by its own wish or a rejection, is drained too.
+// Input after a rejected request is discarded, so that the client can read the rejection.
 func TestRejectionIsRead(t *testing.T) {
 	for name, text := range map[string]string{
-		"body behind":   strings.Replace(ask("1", "x"), "/look/", "/none/", 1) + strings.Repeat("x", 60<<10),
-		"long body":     strings.Replace(ask("1", strings.Repeat("x", 70<<10)), "x", "x", 1),
+		"body behind":   strings.Replace(putRequest("1", "x"), "/look/", "/none/", 1) + strings.Repeat("x", 60<<10),
+		"long body":     strings.Replace(putRequest("1", strings.Repeat("x", 70<<10)), "x", "x", 1),
 		"noise, a lot":  strings.Repeat("\x01", 60<<10),
-		"pipelined":     ask("1", "x") + ask("2", "x"),
-		"both lengths":  strings.Replace(ask("1", "x"), "Host", "Transfer-Encoding: chunked\r\nHost", 1),
-		"wants to know": strings.Replace(ask("1", "x"), "Host", "Expect: 100-continue\r\nHost", 1),
+		"pipelined":     putRequest("1", "x") + putRequest("2", "x"),
+		"both lengths":  strings.Replace(putRequest("1", "x"), "Host", "Transfer-Encoding: chunked\r\nHost", 1),
+		"wants to know": strings.Replace(putRequest("1", "x"), "Host", "Expect: 100-continue\r\nHost", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			u := b.dial()
+			b := newTestFront(t)
+			u := b.connect()
 			u.send(text)
 			m := new(http1.Message)
 			if err := u.r.Answer(m); err != nil || m.Status < 400 || m.Status > 499 {
 				t.Fatalf("status %d, %v", m.Status, err)
 			}
-			u.ended()
-			b.none()
+			u.expectEOF()
+			b.expectNothingTaken()
 		})
 	}
 }
 
-// idle gives a client that has been answered and rests, with its connection overdue.
-func (b *bed) idle() (*user, *client) {
-	u := b.dial()
-	u.send(ask("0", "x"))
-	b.serve(b.taken(), "")
-	u.answer(200)
-	c := b.only()
-	b.pass(11 * sec)
+// overdueClient returns a client that has been answered and whose idle connection is due to be closed.
+func (b *testFront) overdueClient() (*testClient, *client) {
+	u := b.connect()
+	u.send(putRequest("0", "x"))
+	b.answerOK(b.nextTaken(), "")
+	u.expectAnswer(200)
+	c := b.onlyClient()
+	b.advance(11 * second)
 	return u, c
 }
 
-// An idle connection is ended in the moment its next request comes. Either it was read before, then it is served, or
-// nothing of it is taken and the connection ends with no answer.
+// An idle connection is closed in the moment in which its next request arrives. Either the request was read before the
+// close and is served, or none of it is processed and the connection ends without an answer.
 func TestIdleCloseCrossesARequest(t *testing.T) {
 	t.Run("bytes wait", func(t *testing.T) {
-		b := newBed(t)
-		u := b.dial()
-		for i, met := 0, false; !met; i++ { // a client that comes back at once is not listened to for a while
-			u.send(ask(fmt.Sprint(i), "x"))
-			r := b.taken()
+		b := newTestFront(t)
+		u := b.connect()
+		for i, met := 0, false; !met; i++ { // the connection of a client that repeats a refused request at once is paused
+			u.send(putRequest(fmt.Sprint(i), "x"))
+			r := b.nextTaken()
 			r.Front.Answer(b.Now(), r, core.Answer{Verdict: core.Refused})
-			u.answer(503)
-			c := b.only()
-			b.f.mu.Lock()
-			u.send(ask("next", "x"))
+			u.expectAnswer(503)
+			c := b.onlyClient()
+			b.front.mu.Lock()
+			u.send(putRequest("next", "x"))
 			if met = c.conn.Waiting(); met {
-				b.pass(11 * sec)
-				b.f.endOverdue(b.Now())
+				b.advance(11 * second)
+				b.front.closeOverdue(b.Now())
 			}
-			b.f.mu.Unlock()
-			b.serve(b.taken(), "yes")
-			if got, m := u.answer(200); got != "yes" || m.Close {
+			b.front.mu.Unlock()
+			b.answerOK(b.nextTaken(), "yes")
+			if got, m := u.expectAnswer(200); got != "yes" || m.Close {
 				t.Fatal(got, m.Close)
 			}
 		}
 	})
 	t.Run("its reader is about to read", func(t *testing.T) {
-		// Bytes that were read before the end are owed an answer. A reader that had them in hand and waited for the
-		// lock while the connection was ended threw them away: found by a trace of a short day.
+		// Bytes that were read before the close are owed an answer. Guards against a reader that has read them, waits
+		// for the lock while the connection is closed, and then discards them.
 		for range 50 {
-			b := newBed(t)
-			u, _ := b.idle()
-			b.f.mu.Lock()
-			u.send(ask("9", "x"))
-			b.f.endOverdue(b.Now())
-			b.f.mu.Unlock()
-			b.serve(b.taken(), "yes")
-			u.answer(200)
+			b := newTestFront(t)
+			u, _ := b.overdueClient()
+			b.front.mu.Lock()
+			u.send(putRequest("9", "x"))
+			b.front.closeOverdue(b.Now())
+			b.front.mu.Unlock()
+			b.answerOK(b.nextTaken(), "yes")
+			u.expectAnswer(200)
 		}
 	})
 	t.Run("at the end of the process", func(t *testing.T) {
 		for range 20 {
-			b := newBed(t)
-			u, _ := b.idle()
-			b.f.mu.Lock()
-			b.f.last = true // as Over has found
-			u.send(ask("9", "x"))
+			b := newTestFront(t)
+			u, _ := b.overdueClient()
+			b.front.mu.Lock()
+			b.front.closing = true // as if Over had reported true
+			u.send(putRequest("9", "x"))
 			closed := make(chan struct{})
-			go func() { b.f.Close(); close(closed) }() // waits for the lock, as its reader does
-			b.f.mu.Unlock()
-			u.answer(503)
+			go func() { b.front.Close(); close(closed) }() // waits for the lock, as the reader does
+			b.front.mu.Unlock()
+			u.expectAnswer(503)
 			<-closed
 		}
 	})
 	t.Run("comes after it", func(t *testing.T) {
-		b := newBed(t)
-		u, _ := b.idle()
-		b.f.sweep()
-		u.send(ask("9", "x"))
-		u.ended()
+		b := newTestFront(t)
+		u, _ := b.overdueClient()
+		b.front.sweep()
+		u.send(putRequest("9", "x"))
+		u.expectEOF()
 		u.Close()
-		b.until("its seat is free", func() bool { return b.f.seats.Taken() == 0 })
-		b.none()
+		b.waitUntil("the seat is free", func() bool { return b.front.seats.Taken() == 0 })
+		b.expectNothingTaken()
 	})
 	t.Run("half of it before", func(t *testing.T) {
-		b := newBed(t)
-		u, c := b.idle()
-		u.send(ask("9", "x")[:50])
-		b.until("it speaks", func() bool { return c.seat.State() == seats.Resuming })
-		b.f.sweep()
-		u.send(ask("9", "x")[50:])
-		b.serve(b.taken(), "yes")
-		u.answer(200)
+		b := newTestFront(t)
+		u, c := b.overdueClient()
+		u.send(putRequest("9", "x")[:50])
+		b.waitUntil("the request has begun to arrive", func() bool { return c.seat.State() == seats.Resuming })
+		b.front.sweep()
+		u.send(putRequest("9", "x")[50:])
+		b.answerOK(b.nextTaken(), "yes")
+		u.expectAnswer(200)
 	})
 }
 
-// A request in pieces of any size, each behind the other, is served; a close at any byte of it is none.
+// A request that arrives byte by byte is served; one that is cut off at any byte is not taken.
 func TestPieces(t *testing.T) {
-	b := newBed(t)
-	text := ask("1", "some data")
-	u := b.dial()
+	b := newTestFront(t)
+	text := putRequest("1", "some data")
+	u := b.connect()
 	for i := range text {
 		u.send(text[i : i+1])
 	}
-	r := b.taken()
+	r := b.nextTaken()
 	if string(r.Body) != "some data" {
 		t.Fatalf("%q", r.Body)
 	}
-	b.serve(r, "yes")
-	u.answer(200)
+	b.answerOK(r, "yes")
+	u.expectAnswer(200)
 	for at := range text {
-		u := b.dial()
+		u := b.connect()
 		u.send(text[:at])
 		u.Close()
 	}
-	b.until("all others are gone", func() bool { return b.f.seats.Taken() == 1 })
-	b.none()
+	b.waitUntil("all other clients are gone", func() bool { return b.front.seats.Taken() == 1 })
+	b.expectNothingTaken()
 }
 
-// While the process ends: what comes before is served, in its last moments refused, and nothing is cut unanswered that
-// was read or could be. Each stage is set by the clock, not by waiting.
+// During a shutdown requests are served at first and refused in its last moments, and no request that was or could have
+// been read is cut off without an answer. The test sets the clock for each stage instead of waiting.
 func TestStagesOfTheEnd(t *testing.T) {
-	b := newBed(t)
-	users := map[string]*user{}
+	b := newTestFront(t)
+	users := map[string]*testClient{}
 	for _, name := range []string{"early", "late", "held", "rests", "half", "idle", "crosses"} {
-		u := b.dial()
-		u.send(ask(name+"0", "x"))
-		b.serve(b.taken(), "")
-		u.answer(200)
+		u := b.connect()
+		u.send(putRequest(name+"0", "x"))
+		b.answerOK(b.nextTaken(), "")
+		u.expectAnswer(200)
 		users[name] = u
 	}
-	// One that was refused again and again rests, with its next request unread.
+	// The connection of a client that was refused repeatedly is paused, with its next request unread.
 	u := users["rests"]
 	for i := range 7 {
-		u.send(ask(fmt.Sprint("rests", i), "x"))
-		r := b.taken()
+		u.send(putRequest(fmt.Sprint("rests", i), "x"))
+		r := b.nextTaken()
 		r.Front.Answer(b.Now(), r, core.Answer{Verdict: core.Refused})
-		u.answer(503)
+		u.expectAnswer(503)
 	}
-	users["held"].send(ask("held1", "x"))
-	held := b.taken()
-	b.f.Drain()
+	users["held"].send(putRequest("held1", "x"))
+	held := b.nextTaken()
+	b.front.Drain()
 	by := <-b.end
-	if by <= b.Now()+3*sec || by >= b.Now()+3*sec+700_000 {
-		t.Fatalf("answers must have left %d us after it was told", by-b.Now())
+	if by <= b.Now()+3*second || by >= b.Now()+3*second+700_000 {
+		t.Fatalf("the deadline for answers is %d us after Drain", by-b.Now())
 	}
-	u.send(ask("rests9", "x")) // it is read at once now
-	b.serve(b.taken(), "woken")
-	u.answer(200)
-	users["early"].send(ask("early1", "x"))
-	r := b.taken()
+	u.send(putRequest("rests9", "x")) // read at once, as Drain ends pauses
+	b.answerOK(b.nextTaken(), "woken")
+	u.expectAnswer(200)
+	users["early"].send(putRequest("early1", "x"))
+	r := b.nextTaken()
 	if r.Left > by-b.Now() {
-		t.Fatal("it may take longer than there is time")
+		t.Fatal("the request may take longer than the shutdown allows")
 	}
-	b.serve(r, "still")
-	if _, m := users["early"].answer(200); m.Close {
-		t.Fatal("its connection ends before its time")
+	b.answerOK(r, "still")
+	if _, m := users["early"].expectAnswer(200); m.Close {
+		t.Fatal("the connection is closed too early")
 	}
-	if b.f.Over() {
-		t.Fatal("over with a request held")
+	if b.front.Over() {
+		t.Fatal("Over reports true with a request held")
 	}
-	b.pass(by - b.Now() - 10_000) // shortly before
-	b.serve(held, "held")
-	if _, m := users["held"].answer(200); !m.Close {
-		t.Fatal("it is not told that the connection ends")
+	b.advance(by - b.Now() - 10_000) // shortly before
+	b.answerOK(held, "held")
+	if _, m := users["held"].expectAnswer(200); !m.Close {
+		t.Fatal("the answer does not announce the close of the connection")
 	}
-	users["late"].send(ask("late1", "x"))
-	users["late"].answer(503)
-	users["half"].send(ask("half1", "x")[:70])
-	b.until("it speaks", func() bool { return b.f.seats.Busy() == 1 })
-	b.pass(20_000)
-	if b.f.Over() {
-		t.Fatal("over in the middle of a request")
+	users["late"].send(putRequest("late1", "x"))
+	users["late"].expectAnswer(503)
+	users["half"].send(putRequest("half1", "x")[:70])
+	b.waitUntil("the request has begun to arrive", func() bool { return b.front.seats.Busy() == 1 })
+	b.advance(20_000)
+	if b.front.Over() {
+		t.Fatal("Over reports true in the middle of a request")
 	}
-	b.pass(100_000)
-	if !b.f.Over() {
-		t.Fatal("not over when it must be")
+	b.advance(100_000)
+	if !b.front.Over() {
+		t.Fatal("Over reports false after the deadline")
 	}
 	done := make(chan struct{})
-	go func() { b.f.Close(); close(done) }()
-	users["idle"].ended()
-	users["half"].answer(503)
-	// Its next request crosses the end of its connection, so it is sent again on a new one.
-	users["crosses"].ended()
+	go func() { b.front.Close(); close(done) }()
+	users["idle"].expectEOF()
+	users["half"].expectAnswer(503)
+	// The client's next request crosses the close of its connection, so the client sends it again on a new one.
+	users["crosses"].expectEOF()
 	if c, err := net.Dial("tcp", b.addr); err == nil {
-		again := &user{c.(*net.TCPConn), t, http1.NewReader(c)}
+		again := &testClient{c.(*net.TCPConn), t, http1.NewReader(c)}
 		defer c.Close()
-		if _, err := io.WriteString(c, ask("crosses1", "x")); err == nil {
+		if _, err := io.WriteString(c, putRequest("crosses1", "x")); err == nil {
 			if m := new(http1.Message); again.r.Answer(m) == nil && m.Status != 503 {
 				t.Errorf("status %d", m.Status)
 			}
 		}
 	}
 	<-done
-	b.none()
+	b.expectNothingTaken()
 }
 
-// Many clients with classes, plans, keys and bodies of their own, on connections that are used again: each request has
-// what its client wrote and nothing of another's, until it is answered.
+// Many clients send requests with distinct classes, plans, keys and bodies on reused connections. Each request holds
+// exactly what its client wrote until it is answered, and nothing from another request.
 func TestNothingOfAnother(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("all", func(t *testing.T) {
-		b := newBed(t)
+		b := newTestFront(t)
 		const clients, each = 8, 60
 		done := make(chan struct{}, clients)
 		for n := range clients {
-			u := b.dial()
+			u := b.connect()
 			go func() {
 				defer func() { done <- struct{}{} }()
 				for i := range each {
@@ -519,12 +521,12 @@
 				!bytes.Equal(r.Body, []byte(strings.Repeat(id+".", 1+i*7%400))) {
 				t.Errorf("%s: %+v", id, r)
 			}
-			b.serve(r, "for "+id)
+			b.answerOK(r, "for "+id)
 		}
-		for range clients * each { // answered in another order than they came
-			open = append(open, b.taken())
-			for len(b.took) > 0 {
-				open = append(open, <-b.took)
+		for range clients * each { // answered in a different order from that of their arrival
+			open = append(open, b.nextTaken())
+			for len(b.taken) > 0 {
+				open = append(open, <-b.taken)
 			}
 			for len(open) > 0 {
 				answer(open[len(open)-1])
@@ -533,7 +535,7 @@
 			if len(done) == clients {
 				break
 			}
-			if b.f.Tally().Taken == clients*each && len(b.took) == 0 {
+			if b.front.Tally().Taken == clients*each && len(b.taken) == 0 {
 				break
 			}
 		}
@@ -543,35 +545,35 @@
 	})
 }
 
-// short is a listener that has no descriptors left for a while.
-type short struct {
+// failingListener is a listener whose first calls of Accept fail for lack of file descriptors.
+type failingListener struct {
 	net.Listener
-	left  atomic.Int64
-	asked atomic.Int64
+	failures atomic.Int64
+	calls    atomic.Int64
 }
 
-func (l *short) Accept() (net.Conn, error) {
-	l.asked.Add(1)
-	if l.left.Add(-1) >= 0 {
+func (l *failingListener) Accept() (net.Conn, error) {
+	l.calls.Add(1)
+	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return l.Listener.Accept()
 }
 
-// Out of descriptors, it goes on asking, with pauses, and serves who comes next.
+// When file descriptors run out, Serve goes on calling Accept, with pauses, and serves the next client.
 func TestAcceptFails(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &short{Listener: l}
-	s.left.Store(5)
-	b := newBedOn(t, s)
-	u := b.dial()
-	u.send(ask("1", "x"))
-	b.serve(b.taken(), "yes")
-	u.answer(200)
-	if n := s.asked.Load(); n < 6 || n > 8 {
-		t.Fatalf("asked %d times for two connections and five failures", n)
+	s := &failingListener{Listener: l}
+	s.failures.Store(5)
+	b := newTestFrontOn(t, s)
+	u := b.connect()
+	u.send(putRequest("1", "x"))
+	b.answerOK(b.nextTaken(), "yes")
+	u.expectAnswer(200)
+	if n := s.calls.Load(); n < 6 || n > 8 {
+		t.Fatalf("Accept was called %d times, want 6 to 8 with five failures", n)
 	}
 }
