--- a/internal/platform/target/message.go
+++ b/internal/platform/target/message.go
@@ -12,26 +12,27 @@
 	"appleplank/logic"
 )
 
-// Fields says which values of a load report are known, by their name on the socket, and what the settings call them.
+// Fields maps the names of the known values of a load report, as they are sent, to their names in the settings.
 type Fields map[string]string
 
-// names is how the platform writes the values that settings name.
-var names = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms"}
+// platformNames maps names of load values in the settings to the names that the platform uses for them.
+var platformNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms"}
 
-// NewFields knows the values that the settings name, under either name.
-func NewFields(list []string) Fields {
-	f := Fields{}
-	for _, x := range list {
-		f[x] = x
-		if n, ok := names[x]; ok {
-			f[n] = x
+// NewFields returns the fields for the load values named in the settings, which are known under both their names.
+func NewFields(settingsNames []string) Fields {
+	fields := Fields{}
+	for _, name := range settingsNames {
+		fields[name] = name
+		if platformName, ok := platformNames[name]; ok {
+			fields[platformName] = name
 		}
 	}
-	return f
+	return fields
 }
 
-// appendRequest writes an attempt, but for how long its answer is waited for: stamp puts that at gap once it leaves.
-func appendRequest(b []byte, host string, r *core.Request) (out []byte, gap int) {
+// appendRequest appends the request of an attempt without the digits of its timeout. [insertTimeout] inserts them at
+// timeoutOffset when the request is sent.
+func appendRequest(b []byte, host string, r *core.Request) (out []byte, timeoutOffset int) {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.Target...)
@@ -44,24 +45,25 @@
 		b = append(b, r.Once...)
 	}
 	b = append(b, "\r\nRequest-Timeout: "...)
-	gap = len(b)
+	timeoutOffset = len(b)
 	b = append(b, 'u')
 	if len(r.Body) > 0 || string(r.Method) != "GET" {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	return append(b, r.Body...), gap
+	return append(b, r.Body...), timeoutOffset
 }
 
-// stamp puts the time that is left into a request that was written down.
-func stamp(b []byte, gap int, patience logic.Micros) []byte {
+// insertTimeout inserts the remaining time in microseconds, at least 1, into an encoded request.
+func insertTimeout(b []byte, offset int, remaining logic.Micros) []byte {
 	var digits [20]byte
-	return slices.Insert(b, gap, strconv.AppendInt(digits[:0], int64(max(patience, 1)), 10)...)
+	return slices.Insert(b, offset, strconv.AppendInt(digits[:0], int64(max(remaining, 1)), 10)...)
 }
 
-// result tells what an answer says of its attempt.
-func result(m *http1.Message, written bool, fields Fields) core.Result {
+// parseAnswer returns the result of an attempt from its answer. written tells whether the attempt was written
+// completely.
+func parseAnswer(m *http1.Message, written bool, fields Fields) core.Result {
 	res := core.Result{Outcome: logic.Failed, Load: logic.NoLoad}
 	switch notStarted := string(m.Get("not-started")) == "1"; {
 	case notStarted && (m.Status == 503 || m.Status == 504):
@@ -69,33 +71,33 @@
 	case m.Status == 200 && written:
 		res.Outcome, res.Body, res.Kept = logic.OK, m.Body, len(m.Body) > http1.KeepSize
 	}
-	if v, ok := figure(m.Get("x-meter")); ok {
+	if v, ok := parseCount(m.Get("x-meter")); ok {
 		res.Used = 1 + v
 	}
-	if v, ok := figure(m.Get("x-delta")); ok {
+	if v, ok := parseCount(m.Get("x-delta")); ok {
 		res.Elsewhere = v
 	}
 	if v := m.Get("server-load"); v != nil {
-		if l, ok := load(v, fields); ok {
+		if l, ok := parseLoad(v, fields); ok {
 			res.Load = l
 		}
 	}
 	return res
 }
 
-// figure reads a whole number; what cannot be one is left out.
-func figure(v []byte) (int, bool) {
+// parseCount parses a whole number below 65535.
+func parseCount(v []byte) (int, bool) {
 	if n := http1.Digits(v); n >= 0 && n < math.MaxUint16 {
 		return int(n), true
 	}
 	return 0, false
 }
 
-// load reads a report such as inflight=7,queue=2,util=0.61; one that cannot be read is dropped whole.
-func load(v []byte, fields Fields) (logic.Load, bool) {
+// parseLoad parses a load report such as inflight=7,queue=2,util=0.61. A report with any invalid value is ignored.
+func parseLoad(v []byte, fields Fields) (logic.Load, bool) {
 	l := logic.NoLoad
-	for part := range bytes.SplitSeq(v, []byte(",")) {
-		name, text, ok := bytes.Cut(bytes.TrimSpace(part), []byte("="))
+	for field := range bytes.SplitSeq(v, []byte(",")) {
+		name, text, ok := bytes.Cut(bytes.TrimSpace(field), []byte("="))
 		if !ok {
 			return l, false
 		}
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -1,5 +1,5 @@
-// Package target carries attempts to targets, one at a time on a connection, and tells how each ended by what was
-// written and read. Which connection is used, and which is closed when, is decided by package spares.
+// Package target sends attempts to targets, one at a time per connection, and reports the outcome of each from what was
+// written and read. Package spares decides which connection is used and when one is closed.
 package target
 
 import (
@@ -19,94 +19,94 @@
 	"appleplank/spares"
 )
 
-// Sink is who hears how attempts ended.
+// Sink receives the outcomes of attempts.
 type Sink interface {
 	Now() logic.Micros
 	Ended(a *core.Attempt, res core.Result)
 }
 
-// Settings is what the back is told.
+// Settings configures a [Back].
 type Settings struct {
-	Most    int           // connections
-	Room    int           // bytes for answers of more than a few KiB
-	Idle    logic.Micros  // after which targets close them
-	Connect time.Duration // a connection that is not up by then is none
-	Fields  Fields        // of load reports
-	Trace   *trace.Writer // nil: off
-	// Dial connects by TCP; nil: as the system does.
+	Most    int           // maximum number of connections
+	Room    int           // bytes that all answers of more than http1.KeepSize may hold together
+	Idle    logic.Micros  // time after which targets close an idle connection
+	Connect time.Duration // limit on the time to connect
+	Fields  Fields        // known fields of load reports
+	Trace   *trace.Writer // nil: no trace
+	// Dial opens a TCP connection; nil: [net.Dialer.DialContext].
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Back implements [core.Back].
+// Back manages the connections to targets. It implements [core.Back].
 type Back struct {
-	set  Settings
-	sink Sink
-
-	mu     sync.Mutex // never held while the sink is told
-	spares *spares.Set
-	places map[logic.NodeID]core.Place
-	lines  map[*line]struct{}
-	swept  *time.Timer
-	closed bool
-	wait   sync.WaitGroup
-	tally  Tally
+	settings Settings
+	sink     Sink
+
+	mu         sync.Mutex // never held during a call of the sink
+	spares     *spares.Set
+	targets    map[logic.NodeID]core.Place
+	conns      map[*connection]struct{}
+	sweepTimer *time.Timer
+	closed     bool
+	goroutines sync.WaitGroup
+	tally      Tally
 }
 
-// Tally counts what came over the sockets.
+// Tally counts dials, answers and faults of connections.
 type Tally struct {
 	Dialled, DialFailed, Answers, Spoilt, Surplus, Broken uint64
 	Spares                                                spares.Tally
 }
 
-// New makes a back.
-func New(set Settings, sink Sink) *Back {
-	if set.Dial == nil {
-		set.Dial = new(net.Dialer).DialContext
+// New returns a back that reports outcomes to sink.
+func New(settings Settings, sink Sink) *Back {
+	if settings.Dial == nil {
+		settings.Dial = new(net.Dialer).DialContext
 	}
-	b := &Back{set: set, sink: sink, spares: spares.New(set.Most, set.Room, set.Idle),
-		places: map[logic.NodeID]core.Place{}, lines: map[*line]struct{}{}}
-	b.swept = time.AfterFunc(sweep, b.sweep)
+	b := &Back{settings: settings, sink: sink, spares: spares.New(settings.Most, settings.Room, settings.Idle),
+		targets: map[logic.NodeID]core.Place{}, conns: map[*connection]struct{}{}}
+	b.sweepTimer = time.AfterFunc(sweepInterval, b.sweep)
 	return b
 }
 
-// sweep is how often idle connections are looked through.
-const sweep = 250 * time.Millisecond
+// sweepInterval is the interval at which idle connections are checked for timeouts.
+const sweepInterval = 250 * time.Millisecond
 
-type state uint8
+type connState uint8
 
 const (
-	dialling state = iota
-	busy           // its attempt is out
-	told           // the attempt's end was brought, and is not used yet
+	dialling connState = iota
+	busy               // its attempt is in flight
+	reported           // the outcome was reported to the sink, Done was not called yet
 	idle
-	over
+	closed
 )
 
-// line is one connection.
-type line struct {
-	back   *Back
-	spare  spares.Line
-	place  core.Place
-	cancel context.CancelFunc // of a dial
-
-	// Under the back's lock.
-	state   state
-	attempt *core.Attempt
-	written bool // the attempt's last byte has left
-	dropped bool
-	recall  bool // dropped before it had left whole
-	conn    *sock.Conn
-	out     []byte // what is written of the attempt
-	gap     int    // where the time that is left goes into it
-	sent    int
-	spent   bool // to be closed once its end is used
-	stray   bool // something has come while nothing was out
-	room    int  // held for a long answer
-	// rested is closed when the rest of the attempt, which the socket did not take at once, was written or cannot be;
-	// nil: there was none.
-	rested chan struct{}
-
-	answered logic.Micros // when its last answer was read
+// connection is one connection to a target.
+type connection struct {
+	back       *Back
+	spare      spares.Line
+	target     core.Place
+	cancelDial context.CancelFunc
+
+	// The fields below are guarded by the back's lock.
+	state           connState
+	attempt         *core.Attempt
+	written         bool // the attempt was written completely
+	dropped         bool
+	recalled        bool // given up before it was written completely
+	conn            *sock.Conn
+	outBuf          []byte // the encoded attempt
+	timeoutOffset   int    // offset in outBuf at which the remaining time is inserted
+	sentBytes       int
+	closeAfterUse   bool // to be closed when Done is called
+	unexpectedInput bool // data arrived while no attempt was in flight
+	reserved        int  // bytes reserved for a long answer
+	// flushed is closed once the part of the attempt that the socket did not take at once was written or has failed;
+	// nil: there is no such part.
+	flushed chan struct{}
+
+	answeredAt logic.Micros // time at which its last answer was read
 }
 
 // Start implements [core.Back].
@@ -117,111 +117,111 @@
 		if s == nil {
 			break
 		}
-		l := s.Owner.(*line)
-		// What the target has sent unasked, or that it has closed, shows here at the latest, also where the reader
-		// has it in hand already: taken for the answer to come, it would be served to the wrong client. Nothing was
-		// written yet, so another connection may be taken.
-		if l.stray || l.conn.Quiet() != nil {
+		c := s.Owner.(*connection)
+		// Detects unexpected data and a close by the target, also if the reader has read the data already. Such data
+		// would be taken for the answer to this attempt and be served to the wrong client. Nothing was written yet, so
+		// another connection can be used.
+		if c.unexpectedInput || c.conn.Quiet() != nil {
 			b.tally.Surplus++
-			b.end(l)
+			b.close(c)
 			continue
 		}
-		l.begin(a, r)
-		l.state = busy
-		if !l.write(now) {
-			l.attempt = nil
-			b.end(l)
+		c.prepare(a, r)
+		c.state = busy
+		if !c.send(now) {
+			c.attempt = nil
+			b.close(c)
 			continue
 		}
-		if b.set.Trace != nil {
-			b.trace("send", l, "reused:"+strconv.FormatInt(int64(now-l.answered), 10))
+		if b.settings.Trace != nil {
+			b.trace("send", c, "reused:"+strconv.FormatInt(int64(now-c.answeredAt), 10))
 		}
 		b.mu.Unlock()
 		return
 	}
-	place, room := b.places[a.Node], false
-	if place.Takes && !b.closed {
-		var out *spares.Line
-		if out, room = b.spares.Dial(); out != nil {
-			b.end(out.Owner.(*line))
+	target, hasCapacity := b.targets[a.Node], false
+	if target.Takes && !b.closed {
+		var evicted *spares.Line
+		if evicted, hasCapacity = b.spares.Dial(); evicted != nil {
+			b.close(evicted.Owner.(*connection))
 		}
 	}
-	if !room {
+	if !hasCapacity {
 		b.mu.Unlock()
 		b.sink.Ended(a, core.Result{Outcome: logic.Moot, Load: logic.NoLoad}) // nothing was sent
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), b.set.Connect)
-	l := &line{back: b, place: place, cancel: cancel}
-	l.spare.Owner = l
-	l.begin(a, r)
-	l.state = dialling
-	b.lines[l] = struct{}{}
+	ctx, cancel := context.WithTimeout(context.Background(), b.settings.Connect)
+	c := &connection{back: b, target: target, cancelDial: cancel}
+	c.spare.Owner = c
+	c.prepare(a, r)
+	c.state = dialling
+	b.conns[c] = struct{}{}
 	b.tally.Dialled++
-	b.wait.Go(func() { l.run(ctx) })
+	b.goroutines.Go(func() { c.run(ctx) })
 	b.mu.Unlock()
 }
 
-// begin takes an attempt and writes down its request.
-func (l *line) begin(a *core.Attempt, r *core.Request) {
-	l.attempt, l.written, l.dropped, l.recall, l.spent, l.sent, l.rested = a, false, false, false, false, 0, nil
-	l.out, l.gap = appendRequest(l.out[:0], l.place.Address, r)
-	a.Conn = l
+// prepare assigns an attempt to the connection and encodes its request.
+func (c *connection) prepare(a *core.Attempt, r *core.Request) {
+	c.attempt, c.written, c.dropped, c.recalled, c.closeAfterUse, c.sentBytes, c.flushed = a, false, false, false, false, 0, nil
+	c.outBuf, c.timeoutOffset = appendRequest(c.outBuf[:0], c.target.Address, r)
+	a.Conn = c
 }
 
-// write writes what the socket takes of the attempt at once, and leaves the rest to a goroutine; false: it takes
-// nothing any more. One that breaks later is seen by its reader.
-func (l *line) write(now logic.Micros) bool {
-	l.out = stamp(l.out, l.gap, l.attempt.StopAt-now)
-	n, err := l.conn.TryWrite(l.out)
-	l.sent, l.written = n, n == len(l.out)
-	if !l.written && err == nil {
-		rested := make(chan struct{})
-		l.rested = rested
-		l.back.wait.Go(func() {
-			_, err := l.conn.Write(l.out[n:])
-			l.back.mu.Lock()
-			l.written = err == nil
-			l.back.mu.Unlock()
-			close(rested)
+// send writes the part of the attempt that the socket takes at once, and starts a goroutine for the rest. It reports
+// false if the connection is broken and nothing was written. A later failure is noticed by the reader.
+func (c *connection) send(now logic.Micros) bool {
+	c.outBuf = insertTimeout(c.outBuf, c.timeoutOffset, c.attempt.StopAt-now)
+	n, err := c.conn.TryWrite(c.outBuf)
+	c.sentBytes, c.written = n, n == len(c.outBuf)
+	if !c.written && err == nil {
+		flushed := make(chan struct{})
+		c.flushed = flushed
+		c.back.goroutines.Go(func() {
+			_, err := c.conn.Write(c.outBuf[n:])
+			c.back.mu.Lock()
+			c.written = err == nil
+			c.back.mu.Unlock()
+			close(flushed)
 		})
 	}
 	return err == nil || n > 0
 }
 
 // Drop implements [core.Back].
-func (b *Back) Drop(a *core.Attempt) { b.give(a, false) }
+func (b *Back) Drop(a *core.Attempt) { b.abandon(a, false) }
 
 // Recall implements [core.Back].
-func (b *Back) Recall(a *core.Attempt) { b.give(a, true) }
+func (b *Back) Recall(a *core.Attempt) { b.abandon(a, true) }
 
-// give gives an attempt up; part: only where it has not left whole.
-func (b *Back) give(a *core.Attempt, part bool) {
+// abandon gives up an attempt; with onlyUnsent, only if it was not written completely.
+func (b *Back) abandon(a *core.Attempt, onlyUnsent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l, ok := a.Conn.(*line)
-	if !ok || l.attempt != a || l.state != busy && l.state != dialling || part && l.written {
+	c, ok := a.Conn.(*connection)
+	if !ok || c.attempt != a || c.state != busy && c.state != dialling || onlyUnsent && c.written {
 		return
 	}
-	l.dropped, l.recall = true, l.recall || part
-	if l.conn != nil {
-		l.conn.Shut() // its reader brings the end
+	c.dropped, c.recalled = true, c.recalled || onlyUnsent
+	if c.conn != nil {
+		c.conn.Shut() // the reader reports the outcome
 	}
-	l.cancel()
+	c.cancelDial()
 }
 
 // Done implements [core.Back].
 func (b *Back) Done(now logic.Micros, a *core.Attempt) {
 	b.mu.Lock()
-	if l, ok := a.Conn.(*line); ok && l.attempt == a {
-		l.attempt = nil
-		l.free()
-		if l.state == told {
-			if l.spent || b.closed || !b.stands(l) {
-				b.end(l)
+	if c, ok := a.Conn.(*connection); ok && c.attempt == a {
+		c.attempt = nil
+		c.releaseAnswer()
+		if c.state == reported {
+			if c.closeAfterUse || b.closed || !b.valid(c) {
+				b.close(c)
 			} else {
-				l.state = idle
-				b.spares.Idle(now, l.place.Node, &l.spare)
+				c.state = idle
+				b.spares.Idle(now, c.target.Node, &c.spare)
 			}
 		}
 	}
@@ -232,36 +232,36 @@
 func (b *Back) Targets(_ logic.Micros, list []core.Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	clear(b.places)
+	clear(b.targets)
 	for _, p := range list {
-		b.places[p.Node] = p
+		b.targets[p.Node] = p
 	}
-	for l := range b.lines {
-		if l.state == idle && !b.stands(l) {
-			b.end(l)
+	for c := range b.conns {
+		if c.state == idle && !b.valid(c) {
+			b.close(c)
 		}
 	}
 }
 
-// stands tells whether a connection still leads where it should. Under the lock.
-func (b *Back) stands(l *line) bool { return b.places[l.place.Node].Address == l.place.Address }
+// valid reports whether a connection still leads to the current address of its node. The caller holds the lock.
+func (b *Back) valid(c *connection) bool { return b.targets[c.target.Node].Address == c.target.Address }
 
-// end closes a connection that has no attempt out. Under the lock.
-func (b *Back) end(l *line) {
-	if l.state == over {
+// close closes a connection that has no attempt in flight. The caller holds the lock.
+func (b *Back) close(c *connection) {
+	if c.state == closed {
 		return
 	}
-	l.free()
-	if _, ok := b.lines[l]; ok {
-		delete(b.lines, l)
-		b.spares.Gone(&l.spare)
+	c.releaseAnswer()
+	if _, ok := b.conns[c]; ok {
+		delete(b.conns, c)
+		b.spares.Gone(&c.spare)
 	}
-	if l.conn != nil {
-		l.conn.DropUnsent(l.state != idle) // an idle one has nothing unsent, and ends in order
-		l.conn.Shut()                      // its reader closes it
+	if c.conn != nil {
+		c.conn.DropUnsent(c.state != idle) // an idle one has no unsent data and is closed normally
+		c.conn.Shut()                      // the reader closes it
 	}
-	l.state = over
-	l.cancel()
+	c.state = closed
+	c.cancelDial()
 }
 
 func (b *Back) sweep() {
@@ -271,36 +271,36 @@
 		return
 	}
 	for s := b.spares.Overdue(b.sink.Now()); s != nil; s = b.spares.Overdue(b.sink.Now()) {
-		b.end(s.Owner.(*line))
+		b.close(s.Owner.(*connection))
 	}
-	b.swept.Reset(sweep)
+	b.sweepTimer.Reset(sweepInterval)
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines.
 func (b *Back) Close() {
 	b.mu.Lock()
 	b.closed = true
-	b.swept.Stop()
-	for l := range b.lines {
-		if l.state == idle || l.state == told {
-			b.end(l)
-		} else if l.dropped = true; l.conn != nil {
-			l.conn.Shut()
+	b.sweepTimer.Stop()
+	for c := range b.conns {
+		if c.state == idle || c.state == reported {
+			b.close(c)
+		} else if c.dropped = true; c.conn != nil {
+			c.conn.Shut()
 		}
-		l.cancel()
+		c.cancelDial()
 	}
 	b.mu.Unlock()
-	b.wait.Wait()
+	b.goroutines.Wait()
 }
 
-// Open tells how many connections there are, and how many of them are idle.
+// Open returns the number of connections and how many of them are idle.
 func (b *Back) Open() (open, idle int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spares.Open()
 }
 
-// Tally tells the counts so far.
+// Tally returns the current counts.
 func (b *Back) Tally() Tally {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -309,11 +309,11 @@
 	return t
 }
 
-// run connects, sends the first attempt, and reads answers as long as the connection lasts.
-func (l *line) run(ctx context.Context) {
-	b := l.back
-	defer l.cancel()
-	raw, err := b.set.Dial(ctx, "tcp", l.place.Address)
+// run connects, sends the first attempt and reads answers until the connection ends.
+func (c *connection) run(ctx context.Context) {
+	b := c.back
+	defer c.cancelDial()
+	raw, err := b.settings.Dial(ctx, "tcp", c.target.Address)
 	var conn *sock.Conn
 	if err == nil {
 		conn, err = sock.New(raw.(*net.TCPConn))
@@ -321,90 +321,92 @@
 	b.mu.Lock()
 	now := b.sink.Now()
 	if err == nil {
-		// It may have come up late: what the attempt was sent for need not hold any more.
-		if a := l.attempt; b.places[l.place.Node] != l.place || a.StopAt <= now || a.By > 0 && a.By <= now {
-			l.recall = true
+		// The dial may have taken long. The attempt is only sent if its target is unchanged and its time is not up.
+		if a := c.attempt; b.targets[c.target.Node] != c.target || a.StopAt <= now || a.By > 0 && a.By <= now {
+			c.recalled = true
 		}
-		if l.dropped || l.recall || b.closed {
+		if c.dropped || c.recalled || b.closed {
 			err = context.Canceled
 			raw.Close()
 		}
 	}
 	if err != nil {
 		b.tally.DialFailed++
-		l.broke(logic.ConnectFailed)
+		c.fail(logic.ConnectFailed)
 		return
 	}
 	defer conn.Close()
-	// An attempt that is given up, or whose process is killed, must not arrive after that.
+	// Data of an attempt must not reach the target after the attempt was given up or this process was killed.
 	conn.DropUnsent(true)
-	conn.Guard(&b.mu, func() { l.stray = l.stray || l.state != busy })
-	l.conn, l.state = conn, busy
-	l.write(now)
-	b.trace("send", l, "new")
+	conn.Guard(&b.mu, func() { c.unexpectedInput = c.unexpectedInput || c.state != busy })
+	c.conn, c.state = conn, busy
+	c.send(now)
+	b.trace("send", c, "new")
 	b.mu.Unlock()
 	r := http1.NewReader(conn)
-	r.Grant = l.hold
+	r.Grant = c.reserveAnswer
 	var m http1.Message
-	for l.answer(r, &m) {
+	for c.readAnswer(r, &m) {
 	}
 }
 
-// rests waits until it is known how much of the attempt was written: whether it may have run hangs on its last byte.
-// What is not written by the time that its end is here is given up; cut: with the connection.
-func (l *line) rests() (cut bool) {
-	l.back.mu.Lock()
-	rested := l.rested
-	l.back.mu.Unlock()
-	if rested == nil {
+// settleWrite ends the writing of an attempt whose answer or failure was read, so that it is known whether the attempt
+// was written completely: only then it may have been executed. If writing is still going on, it shuts the connection
+// down and reports aborted.
+func (c *connection) settleWrite() (aborted bool) {
+	c.back.mu.Lock()
+	flushed := c.flushed
+	c.back.mu.Unlock()
+	if flushed == nil {
 		return false
 	}
 	select {
-	case <-rested:
+	case <-flushed:
 		return false
 	default:
-		l.conn.Shut()
-		<-rested
+		c.conn.Shut()
+		<-flushed
 		return true
 	}
 }
 
-// hold takes room for a long answer, free gives it back.
-func (l *line) hold(n int) bool {
-	l.back.mu.Lock()
-	defer l.back.mu.Unlock()
-	if l.state != busy || !l.back.spares.Hold(n) {
+// reserveAnswer reserves memory for a long answer and reports whether there is enough; releaseAnswer frees it.
+func (c *connection) reserveAnswer(n int) bool {
+	c.back.mu.Lock()
+	defer c.back.mu.Unlock()
+	if c.state != busy || !c.back.spares.Hold(n) {
 		return false
 	}
-	l.room = n
+	c.reserved = n
 	return true
 }
 
-func (l *line) free() {
-	l.back.spares.Free(l.room)
-	l.room = 0
+func (c *connection) releaseAnswer() {
+	c.back.spares.Free(c.reserved)
+	c.reserved = 0
 }
 
-// answer waits for what comes next on the connection; false: it is over.
-func (l *line) answer(r *http1.Reader, m *http1.Message) bool {
-	b := l.back
+// readAnswer waits for the next answer on the connection and reports its outcome. It reports false when the connection
+// has ended.
+func (c *connection) readAnswer(r *http1.Reader, m *http1.Message) bool {
+	b := c.back
 	err := r.Wait()
 	b.mu.Lock()
 	switch {
-	case l.state == over:
+	case c.state == closed:
 		b.mu.Unlock()
 		return false
-	case l.state != busy: // closed while idle, or bytes that nobody asked for
-		b.traceIdle(l, err)
+	case c.state != busy: // closed, or unexpected data, while no attempt is in flight
+		b.traceIdle(c, err)
 		if err == nil {
 			b.tally.Surplus++
 		}
-		if l.state == told {
-			l.spent = true // its answer is still used
+		if c.state == reported {
+			c.closeAfterUse = true // its answer is still in use
 			b.mu.Unlock()
 			return false
 		}
-		b.end(l)
+		b.close(c)
 		b.mu.Unlock()
 		return false
 	}
@@ -412,95 +414,96 @@
 	if err == nil {
 		err = r.Answer(m)
 	}
-	cut := l.rests()
+	aborted := c.settleWrite()
 	b.mu.Lock()
-	if err == nil && m.ToEnd && l.dropped {
-		err = io.ErrUnexpectedEOF // it was cut here, not ended there
+	if err == nil && m.ToEnd && c.dropped {
+		err = io.ErrUnexpectedEOF // the end of the stream was caused by this side, not by the target
 	}
-	if odd, spoilt := err.(*http1.Error); spoilt {
+	if protocolErr, malformed := err.(*http1.Error); malformed {
 		b.tally.Spoilt++
-		b.trace("end", l, "spoilt:"+strings.ReplaceAll(odd.What, " ", "-"))
-		l.broke(logic.Failed)
+		b.trace("end", c, "spoilt:"+strings.ReplaceAll(protocolErr.What, " ", "-"))
+		c.fail(logic.Failed)
 		return false
 	} else if err != nil {
-		l.broke(logic.Reset)
+		c.fail(logic.Reset)
 		return false
 	}
-	a, written := l.attempt, l.written
+	a, written := c.attempt, c.written
 	b.tally.Answers++
-	l.spent = m.Close || r.Buffered() > 0 || !written || cut
+	c.closeAfterUse = m.Close || r.Buffered() > 0 || !written || aborted
 	if r.Buffered() > 0 {
 		b.tally.Surplus++
 	}
-	l.state, l.answered = told, b.sink.Now()
-	b.spares.Ended(l.answered, &l.spare, false)
-	if b.set.Trace != nil {
-		b.trace("end", l, strconv.Itoa(m.Status)+l.progress())
+	c.state, c.answeredAt = reported, b.sink.Now()
+	b.spares.Ended(c.answeredAt, &c.spare, false)
+	if b.settings.Trace != nil {
+		b.trace("end", c, strconv.Itoa(m.Status)+c.progress())
 	}
 	b.mu.Unlock()
-	b.sink.Ended(a, result(m, written, b.set.Fields))
+	b.sink.Ended(a, parseAnswer(m, written, b.settings.Fields))
 	return true
 }
 
-// broke ends a connection whose attempt is out, and lets go of the lock. What was not written to its end never ran.
-func (l *line) broke(how logic.Outcome) {
-	b, a := l.back, l.attempt
-	if how != logic.ConnectFailed {
+// fail closes a connection whose attempt is in flight, reports the outcome and releases the lock, which the caller
+// holds. An attempt that was not written completely was never executed.
+func (c *connection) fail(outcome logic.Outcome) {
+	b, a := c.back, c.attempt
+	if outcome != logic.ConnectFailed {
 		b.tally.Broken++
-		if !l.written {
-			how = logic.ConnectFailed
+		if !c.written {
+			outcome = logic.ConnectFailed
 		}
 	}
-	if l.recall && !l.written {
-		how = logic.Moot // it says nothing of the target
+	if c.recalled && !c.written {
+		outcome = logic.Moot // the outcome says nothing about the target
 	}
-	if how != logic.Failed && !l.dropped {
-		b.spares.Ended(b.sink.Now(), &l.spare, true)
+	if outcome != logic.Failed && !c.dropped {
+		b.spares.Ended(b.sink.Now(), &c.spare, true)
 	}
-	if how != logic.Failed {
-		b.trace("end", l, "broke"+l.progress())
+	if outcome != logic.Failed {
+		b.trace("end", c, "broke"+c.progress())
 	}
-	l.attempt = nil
-	b.end(l)
+	c.attempt = nil
+	b.close(c)
 	b.mu.Unlock()
-	if l.conn != nil {
-		l.conn.Close() // what is unsent is dropped before the end is told
+	if c.conn != nil {
+		c.conn.Close() // discards unsent data before the outcome is reported
 	}
-	b.sink.Ended(a, core.Result{Outcome: how, Load: logic.NoLoad})
+	b.sink.Ended(a, core.Result{Outcome: outcome, Load: logic.NoLoad})
 }
 
-// progress tells how much of the attempt was written.
-func (l *line) progress() string {
+// progress returns the trace suffix for how much of the attempt was written.
+func (c *connection) progress() string {
 	switch {
-	case l.written:
+	case c.written:
 		return "/whole"
-	case l.sent > 0:
+	case c.sentBytes > 0:
 		return "/part"
 	}
 	return "/none"
 }
 
-// trace writes down what passed on a line's socket. Under the lock.
-func (b *Back) trace(what string, l *line, how string) {
-	if b.set.Trace == nil {
+// trace records an event of an attempt's connection. The caller holds the lock.
+func (b *Back) trace(event string, c *connection, detail string) {
+	if b.settings.Trace == nil {
 		return
 	}
-	if l.dropped {
-		how += "/dropped"
+	if c.dropped {
+		detail += "/dropped"
 	}
-	now, a := b.sink.Now(), l.attempt
-	b.set.Trace.Put(trace.Line{At: now, Side: "wire", What: what, Request: a.Request, Number: a.Number, Node: a.Node, Outcome: how, Took: now - a.Sent, Load: -1})
+	now, a := b.sink.Now(), c.attempt
+	b.settings.Trace.Put(trace.Line{At: now, Side: "wire", What: event, Request: a.Request, Number: a.Number, Node: a.Node, Outcome: detail, Took: now - a.Sent, Load: -1})
 }
 
-// traceIdle writes down what came on a line with nothing out, and how long after its last answer.
-func (b *Back) traceIdle(l *line, err error) {
-	if b.set.Trace == nil {
+// traceIdle records what arrived on a connection with no attempt in flight, and how long after its last answer.
+func (b *Back) traceIdle(c *connection, err error) {
+	if b.settings.Trace == nil {
 		return
 	}
-	how := "unasked"
+	detail := "unasked"
 	if err != nil {
-		how = "closed"
+		detail = "closed"
 	}
 	now := b.sink.Now()
-	b.set.Trace.Put(trace.Line{At: now, Side: "wire", What: "idle", Node: l.place.Node, Outcome: how, Took: now - l.answered, Load: -1})
+	b.settings.Trace.Put(trace.Line{At: now, Side: "wire", What: "idle", Node: c.target.Node, Outcome: detail, Took: now - c.answeredAt, Load: -1})
 }
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -20,64 +20,64 @@
 	"go.uber.org/goleak"
 )
 
-const sec logic.Micros = 1000 * 1000
+const second logic.Micros = 1000 * 1000
 
-// end is how an attempt ended.
-type end struct {
+// attemptEnd is an outcome that was reported for an attempt, with a copy of the body.
+type attemptEnd struct {
 	a    *core.Attempt
 	res  core.Result
 	body string
 }
 
-// hand is a sink that leaves the clock to the test, and uses an attempt's end when the test says so.
-type hand struct {
+// fakeSink is a Sink whose clock the test controls. The test decides when a reported outcome is used.
+type fakeSink struct {
 	clock atomic.Int64
-	ended chan end
+	ended chan attemptEnd
 }
 
-func (h *hand) Now() logic.Micros { return logic.Micros(h.clock.Load()) }
-func (h *hand) Ended(a *core.Attempt, res core.Result) {
-	h.ended <- end{a, res, string(res.Body)}
+func (h *fakeSink) Now() logic.Micros { return logic.Micros(h.clock.Load()) }
+func (h *fakeSink) Ended(a *core.Attempt, res core.Result) {
+	h.ended <- attemptEnd{a, res, string(res.Body)}
 }
 
-// bed is a back with one target whose connections the test holds, and that come up when it says so.
-type bed struct {
+// testBack is a Back with one target. The test controls the target's connections and when they are established.
+type testBack struct {
 	*testing.T
-	*hand
-	b     *Back
-	place core.Place
-	l     net.Listener
-	conns chan *net.TCPConn // as they come up
-	dials chan chan struct{}
+	*fakeSink
+	back     *Back
+	target   core.Place
+	listener net.Listener
+	conns    chan *net.TCPConn // in the order in which they are accepted
+	dials    chan chan struct{}
 }
 
-func newBed(t *testing.T, late bool) *bed {
+func newTestBack(t *testing.T, heldDials bool) *testBack {
 	t.Helper()
-	return newBedAt(t, late, net.ListenConfig{})
+	return newTestBackOn(t, heldDials, net.ListenConfig{})
 }
 
-func newBedAt(t *testing.T, late bool, listen net.ListenConfig) *bed {
+func newTestBackOn(t *testing.T, heldDials bool, listen net.ListenConfig) *testBack {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
 	l, err := listen.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hand{ended: make(chan end, 100)}
-	h.clock.Store(int64(1000 * sec))
-	d := &bed{T: t, hand: h, l: l, conns: make(chan *net.TCPConn, 100), dials: make(chan chan struct{}, 100)}
-	set := Settings{Most: 10, Room: 1 << 20, Idle: 30 * sec, Connect: 20 * time.Second, Fields: NewFields([]string{"waiting"})}
-	if late {
+	h := &fakeSink{ended: make(chan attemptEnd, 100)}
+	h.clock.Store(int64(1000 * second))
+	d := &testBack{T: t, fakeSink: h, listener: l, conns: make(chan *net.TCPConn, 100), dials: make(chan chan struct{}, 100)}
+	set := Settings{Most: 10, Room: 1 << 20, Idle: 30 * second, Connect: 20 * time.Second, Fields: NewFields([]string{"waiting"})}
+	if heldDials {
 		set.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			up := make(chan struct{})
 			d.dials <- up
-			<-up // also where the dial was given up meanwhile: it may have come up in that very moment
+			<-up // also if the dial was cancelled meanwhile: it may have succeeded at the same moment
 			return new(net.Dialer).DialContext(context.WithoutCancel(ctx), network, address)
 		}
 	}
-	d.b = New(set, h)
-	d.place = core.Place{Node: 1, Address: l.Addr().String(), Started: 5, Takes: true}
-	d.b.Targets(h.Now(), []core.Place{d.place})
+	d.back = New(set, h)
+	d.target = core.Place{Node: 1, Address: l.Addr().String(), Started: 5, Takes: true}
+	d.back.Targets(h.Now(), []core.Place{d.target})
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -89,54 +89,54 @@
 		}
 	}()
 	t.Cleanup(func() {
-		d.b.Close()
+		d.back.Close()
 		l.Close()
-		if open, idle := d.b.Open(); open != 0 || idle != 0 || len(d.b.lines) != 0 {
-			t.Errorf("%d connections held at the end, %d idle", open, idle)
+		if open, idle := d.back.Open(); open != 0 || idle != 0 || len(d.back.conns) != 0 {
+			t.Errorf("%d connections are still open after Close, %d idle", open, idle)
 		}
 		goleak.VerifyNone(t, before)
 	})
 	return d
 }
 
-func (d *bed) start(by logic.Micros) *core.Attempt { return d.startBody(by, "data") }
+func (d *testBack) start(deadline logic.Micros) *core.Attempt { return d.startBody(deadline, "data") }
 
-func (d *bed) startBody(by logic.Micros, body string) *core.Attempt {
-	a := &core.Attempt{Attempt: drive.Attempt{Node: 1, Sent: d.Now(), StopAt: d.Now() + 2*sec}, By: by}
+func (d *testBack) startBody(deadline logic.Micros, body string) *core.Attempt {
+	a := &core.Attempt{Attempt: drive.Attempt{Node: 1, Sent: d.Now(), StopAt: d.Now() + 2*second}, By: deadline}
 	r := &core.Request{Method: []byte("PUT"), Target: []byte("/save/7f3a9c21e0b4d655"), ID: []byte("id-1"), Once: []byte("k-1"), Body: []byte(body)}
-	d.b.Start(d.Now(), a, r)
+	d.back.Start(d.Now(), a, r)
 	for _, b := range [][]byte{r.Method, r.Target, r.ID, r.Once, r.Body} {
-		copy(b, "################################") // it stands only for the call
+		copy(b, "################################") // the request is only valid during the call
 	}
 	return a
 }
 
-// dialled is the end of a pending dial's wait.
-func (d *bed) dialled() chan struct{} {
+// nextDial returns the channel whose close lets the next held dial go on.
+func (d *testBack) nextDial() chan struct{} {
 	d.Helper()
 	select {
 	case up := <-d.dials:
 		return up
 	case <-time.After(20 * time.Second):
-		d.Fatal("no connection was asked for")
+		d.Fatal("no dial was started")
 		return nil
 	}
 }
 
-func (d *bed) conn() *net.TCPConn {
+func (d *testBack) nextConn() *net.TCPConn {
 	d.Helper()
 	select {
 	case c := <-d.conns:
 		d.Cleanup(func() { c.Close() })
 		return c
 	case <-time.After(20 * time.Second):
-		d.Fatal("no connection came up")
+		d.Fatal("no connection was established")
 		return nil
 	}
 }
 
-// read gives the next request that came on a connection.
-func (d *bed) read(c net.Conn) *http1.Message {
+// readRequest reads the next request from a connection.
+func (d *testBack) readRequest(c net.Conn) *http1.Message {
 	d.Helper()
 	m := new(http1.Message)
 	if err := http1.NewReader(c).Request(m); err != nil {
@@ -145,136 +145,139 @@
 	return m
 }
 
-// outcome wants the attempt's one end.
-func (d *bed) outcome(a *core.Attempt, want logic.Outcome) end {
+// expectOutcome waits for the next reported outcome and fails the test if it is not the given one of the given attempt.
+func (d *testBack) expectOutcome(a *core.Attempt, want logic.Outcome) attemptEnd {
 	d.Helper()
 	select {
 	case e := <-d.ended:
 		if e.a != a || e.res.Outcome != want {
 			d.Fatalf("outcome %d, want %d", e.res.Outcome, want)
 		}
-		d.b.Done(d.Now(), a)
+		d.back.Done(d.Now(), a)
 		return e
 	case <-time.After(20 * time.Second):
-		d.Fatal("its end never came")
-		return end{}
+		d.Fatal("no outcome was reported")
+		return attemptEnd{}
 	}
 }
 
-func served(body string) string {
+func okAnswer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A connection that comes up late: its attempt tells the time that is left then, not what was left when the dial began.
+// An attempt whose connection is established late sends the time that is left then, not the time that was left when the
+// dial began.
 func TestLateConnectionTellsWhatIsLeft(t *testing.T) {
-	d := newBed(t, true)
+	d := newTestBack(t, true)
 	a := d.start(0)
-	up := d.dialled()
+	up := d.nextDial()
 	d.clock.Add(int64(1500 * 1000))
 	close(up)
-	c := d.conn()
-	m := d.read(c)
+	c := d.nextConn()
+	m := d.readRequest(c)
 	if got := string(m.Get("request-timeout")); got != "500000u" {
-		t.Fatalf("it tells %s of the 500 ms that are left", got)
+		t.Fatalf("the request has a timeout of %s, want the remaining 500 ms", got)
 	}
 	if string(m.Method) != "PUT" || string(m.Target) != "/save/7f3a9c21e0b4d655" || string(m.Get("request-id")) != "id-1" ||
 		string(m.Get("idempotency-key")) != "k-1" || string(m.Body) != "data" {
 		t.Fatalf("%s %s %q", m.Method, m.Target, m.Body)
 	}
-	io.WriteString(c, served("yes"))
-	if e := d.outcome(a, logic.OK); e.body != "yes" {
+	io.WriteString(c, okAnswer("yes"))
+	if e := d.expectOutcome(a, logic.OK); e.body != "yes" {
 		t.Fatal(e.body)
 	}
 }
 
-// One that comes up when its attempt has nothing to do there any more sends nothing, and says nothing of its target.
+// A connection that is established after its attempt has become pointless sends nothing, and its outcome says nothing
+// about the target.
 func TestLateConnectionSendsNothing(t *testing.T) {
 	for name, c := range map[string]struct {
-		meanwhile func(d *bed, a *core.Attempt)
+		meanwhile func(d *testBack, a *core.Attempt)
 		want      logic.Outcome
 	}{
-		"client left":  {func(d *bed, a *core.Attempt) { d.b.Recall(a) }, logic.Moot},
-		"timed out":    {func(d *bed, a *core.Attempt) { d.b.Drop(a) }, logic.ConnectFailed},
-		"its time up":  {func(d *bed, a *core.Attempt) { d.clock.Add(int64(2 * sec)) }, logic.Moot},
-		"forgotten":    {func(d *bed, a *core.Attempt) { d.clock.Add(int64(sec)) }, logic.Moot},
-		"drains":       {func(d *bed, a *core.Attempt) { d.move(func(p *core.Place) { p.Takes = false }) }, logic.Moot},
-		"moved":        {func(d *bed, a *core.Attempt) { d.move(func(p *core.Place) { p.Address = "127.0.0.1:9" }) }, logic.Moot},
-		"new start":    {func(d *bed, a *core.Attempt) { d.move(func(p *core.Place) { p.Started++ }) }, logic.Moot},
-		"other shard":  {func(d *bed, a *core.Attempt) { d.move(func(p *core.Place) { p.Cell++ }) }, logic.Moot},
-		"gone":         {func(d *bed, a *core.Attempt) { d.b.Targets(d.Now(), nil) }, logic.Moot},
-		"back in time": {func(d *bed, a *core.Attempt) { d.b.Targets(d.Now(), nil); d.move(func(*core.Place) {}) }, logic.OK},
+		"client left":  {func(d *testBack, a *core.Attempt) { d.back.Recall(a) }, logic.Moot},
+		"timed out":    {func(d *testBack, a *core.Attempt) { d.back.Drop(a) }, logic.ConnectFailed},
+		"its time up":  {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
+		"forgotten":    {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
+		"drains":       {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Takes = false }) }, logic.Moot},
+		"moved":        {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Address = "127.0.0.1:9" }) }, logic.Moot},
+		"new start":    {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Started++ }) }, logic.Moot},
+		"other shard":  {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Cell++ }) }, logic.Moot},
+		"gone":         {func(d *testBack, a *core.Attempt) { d.back.Targets(d.Now(), nil) }, logic.Moot},
+		"back in time": {func(d *testBack, a *core.Attempt) { d.back.Targets(d.Now(), nil); d.changeTarget(func(*core.Place) {}) }, logic.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newBed(t, true)
-			a := d.start(d.Now() + sec)
-			up := d.dialled()
+			d := newTestBack(t, true)
+			a := d.start(d.Now() + second)
+			up := d.nextDial()
 			c.meanwhile(d, a)
 			close(up)
-			conn := d.conn()
+			conn := d.nextConn()
 			if c.want == logic.OK {
-				d.read(conn)
-				io.WriteString(conn, served("yes"))
-				d.outcome(a, logic.OK)
+				d.readRequest(conn)
+				io.WriteString(conn, okAnswer("yes"))
+				d.expectOutcome(a, logic.OK)
 				return
 			}
 			if b, err := io.ReadAll(conn); len(b) > 0 {
-				t.Fatalf("it sent %q, %v", b, err)
+				t.Fatalf("the connection sent %q, %v", b, err)
 			}
-			d.outcome(a, c.want)
+			d.expectOutcome(a, c.want)
 		})
 	}
 }
 
-func (d *bed) move(change func(*core.Place)) {
-	p := d.place
+func (d *testBack) changeTarget(change func(*core.Place)) {
+	p := d.target
 	change(&p)
-	d.b.Targets(d.Now(), []core.Place{p})
+	d.back.Targets(d.Now(), []core.Place{p})
 }
 
-// An attempt that has left whole is not called back: its target works on it anyway, and the connection can be kept.
+// An attempt that was written completely is not recalled: its target processes it anyway, and the connection can be
+// kept.
 func TestRecallLeavesWhatWasSent(t *testing.T) {
-	d := newBed(t, false)
+	d := newTestBack(t, false)
 	a := d.start(0)
-	c := d.conn()
-	d.read(c)
-	d.b.Recall(a)
-	io.WriteString(c, served("yes"))
-	d.outcome(a, logic.OK)
-	if _, idle := d.b.Open(); idle != 1 {
-		t.Fatal("its connection is not kept")
+	c := d.nextConn()
+	d.readRequest(c)
+	d.back.Recall(a)
+	io.WriteString(c, okAnswer("yes"))
+	d.expectOutcome(a, logic.OK)
+	if _, idle := d.back.Open(); idle != 1 {
+		t.Fatal("the connection was not kept")
 	}
 }
 
-// rested gives a connection that has had an answer and waits for its next request for so long.
-func (d *bed) rested(pause logic.Micros) *net.TCPConn {
+// idleConn returns a connection that has been idle for pause since its first answer.
+func (d *testBack) idleConn(pause logic.Micros) *net.TCPConn {
 	d.Helper()
 	a := d.start(0)
-	c := d.conn()
-	d.read(c)
-	io.WriteString(c, served("first"))
-	d.outcome(a, logic.OK)
+	c := d.nextConn()
+	d.readRequest(c)
+	io.WriteString(c, okAnswer("first"))
+	d.expectOutcome(a, logic.OK)
 	d.clock.Add(int64(pause))
 	return c
 }
 
-// What comes on a connection that rests, in the moment the next request is given to it or just before, is never taken
-// for that request's answer: it goes over another connection.
+// Data that arrives on an idle connection when the next request is assigned to it, or just before, is never taken for
+// the answer to that request, which is sent on another connection.
 func TestBytesAtTheWrongTime(t *testing.T) {
-	for name, bytes := range map[string]string{"half a line": "HTTP/1.1 20", "a second answer": served("stray"), "an end": "", "noise": "\x00\xff"} {
+	for name, bytes := range map[string]string{"half a line": "HTTP/1.1 20", "a second answer": okAnswer("stray"), "an end": "", "noise": "\x00\xff"} {
 		t.Run(name, func(t *testing.T) {
 			for range 30 {
-				d := newBed(t, false)
-				c := d.rested(50_000)
+				d := newTestBack(t, false)
+				c := d.idleConn(50_000)
 				if bytes == "" {
 					c.CloseWrite()
 				} else {
 					io.WriteString(c, bytes)
 				}
-				a := d.start(0) // its reader may have the bytes or not
-				other := d.conn()
-				d.read(other)
-				io.WriteString(other, served("second"))
-				if e := d.outcome(a, logic.OK); e.body != "second" {
+				a := d.start(0) // the reader may or may not have read the data
+				other := d.nextConn()
+				d.readRequest(other)
+				io.WriteString(other, okAnswer("second"))
+				if e := d.expectOutcome(a, logic.OK); e.body != "second" {
 					t.Fatalf("%q", e.body)
 				}
 			}
@@ -282,22 +285,23 @@
 	}
 }
 
-// A second answer that comes some milliseconds after the first: its connection has not been used again by then.
+// A connection is not reused so early that a second answer some milliseconds after the first would be taken for the
+// answer to the next request.
 func TestLateSecondAnswer(t *testing.T) {
-	d := newBed(t, false)
-	c := d.rested(15_000)
+	d := newTestBack(t, false)
+	c := d.idleConn(15_000)
 	second := d.start(0)
-	io.WriteString(c, served("first")) // once more
-	other := d.conn()
-	d.read(other)
-	io.WriteString(other, served("second"))
-	if e := d.outcome(second, logic.OK); e.body != "second" {
+	io.WriteString(c, okAnswer("first")) // a second answer to the first request
+	other := d.nextConn()
+	d.readRequest(other)
+	io.WriteString(other, okAnswer("second"))
+	if e := d.expectOutcome(second, logic.OK); e.body != "second" {
 		t.Fatalf("%q", e.body)
 	}
 }
 
-// A connection that breaks before, at or after the last byte of its request: what cannot have run is told from what may
-// have, also inside an answer of no told length.
+// When a connection breaks before, at or after the last byte of its request, an attempt that cannot have been executed
+// is told apart from one that may have been, also within an answer of unspecified length.
 func TestWhereItBreaks(t *testing.T) {
 	reset := func(c *net.TCPConn) { c.SetLinger(0); c.Close() }
 	for name, x := range map[string]struct {
@@ -316,63 +320,63 @@
 		"ended with no told length": {"HTTP/1.1 200 OK\r\n\r\nwhole", func(c *net.TCPConn) { c.Close() }, logic.OK, "whole"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newBed(t, false)
+			d := newTestBack(t, false)
 			a := d.start(0)
-			c := d.conn()
-			d.read(c)
+			c := d.nextConn()
+			d.readRequest(c)
 			io.WriteString(c, x.answer)
-			if x.answer != "" { // a reset throws away what was not read yet
-				d.reading(a)
+			if x.answer != "" { // a reset discards data that was not read yet
+				d.waitUntilRead(a)
 			}
 			x.break_(c)
-			if e := d.outcome(a, x.want); e.body != x.body {
+			if e := d.expectOutcome(a, x.want); e.body != x.body {
 				t.Fatalf("%q", e.body)
 			}
 		})
 	}
 	t.Run("in the middle of a long request", func(t *testing.T) {
-		d := newBed(t, false)
-		a := &core.Attempt{Attempt: drive.Attempt{Node: 1, StopAt: d.Now() + 2*sec}}
-		body := make([]byte, 16<<20) // more than its socket takes
-		d.b.Start(d.Now(), a, &core.Request{Method: []byte("PUT"), Target: []byte("/x"), ID: []byte("1"), Body: body})
-		c := d.conn()
+		d := newTestBack(t, false)
+		a := &core.Attempt{Attempt: drive.Attempt{Node: 1, StopAt: d.Now() + 2*second}}
+		body := make([]byte, 16<<20) // more than the socket buffers hold
+		d.back.Start(d.Now(), a, &core.Request{Method: []byte("PUT"), Target: []byte("/x"), ID: []byte("1"), Body: body})
+		c := d.nextConn()
 		io.ReadFull(c, make([]byte, 100))
 		reset(c)
-		d.outcome(a, logic.ConnectFailed)
+		d.expectOutcome(a, logic.ConnectFailed)
 	})
 	t.Run("given up inside an answer of no told length", func(t *testing.T) {
-		d := newBed(t, false)
+		d := newTestBack(t, false)
 		a := d.start(0)
-		c := d.conn()
-		d.read(c)
+		c := d.nextConn()
+		d.readRequest(c)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
-		d.reading(a)
-		d.b.Drop(a) // shuts the connection, which reads like an end
-		d.outcome(a, logic.Reset)
+		d.waitUntilRead(a)
+		d.back.Drop(a) // shuts the connection down, which the reader sees as the end of the stream
+		d.expectOutcome(a, logic.Reset)
 	})
 	t.Run("refused", func(t *testing.T) {
-		d := newBed(t, false)
-		d.l.Close()
-		d.outcome(d.start(0), logic.ConnectFailed)
+		d := newTestBack(t, false)
+		d.listener.Close()
+		d.expectOutcome(d.start(0), logic.ConnectFailed)
 	})
 }
 
-// reading waits until what came for an attempt has been taken from its socket.
-func (d *bed) reading(a *core.Attempt) {
+// waitUntilRead waits until all data that arrived for an attempt was read from its socket.
+func (d *testBack) waitUntilRead(a *core.Attempt) {
 	d.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		d.b.mu.Lock()
-		l, ok := a.Conn.(*line)
-		read := ok && l.conn != nil && !l.conn.Waiting()
-		d.b.mu.Unlock()
+		d.back.mu.Lock()
+		c, ok := a.Conn.(*connection)
+		read := ok && c.conn != nil && !c.conn.Waiting()
+		d.back.mu.Unlock()
 		if read {
 			return
 		}
 	}
-	d.Fatal("never read")
+	d.Fatal("the data was not read")
 }
 
-// Answers that never end, stall or hang cost their own attempt alone, and its connection.
+// An answer that does not end, stalls or never comes affects only its own attempt and connection.
 func TestEndlessAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"a head":         "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 2*http1.MaxHead),
@@ -382,40 +386,41 @@
 		"chunks":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("x", 0x1000)+"\r\n", 17),
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newBed(t, false)
+			d := newTestBack(t, false)
 			a := d.start(0)
-			c := d.conn()
-			d.read(c)
+			c := d.nextConn()
+			d.readRequest(c)
 			io.WriteString(c, text)
-			d.outcome(a, logic.Failed)
+			d.expectOutcome(a, logic.Failed)
 			b := d.start(0)
-			other := d.conn()
-			d.read(other)
-			io.WriteString(other, served("fine"))
-			d.outcome(b, logic.OK)
+			other := d.nextConn()
+			d.readRequest(other)
+			io.WriteString(other, okAnswer("fine"))
+			d.expectOutcome(b, logic.OK)
 		})
 	}
 	for name, text := range map[string]string{"hangs": "", "in the head": "HTTP/1.1 200 O", "in the body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"} {
 		t.Run(name, func(t *testing.T) {
-			d := newBed(t, false)
+			d := newTestBack(t, false)
 			a := d.start(0)
-			c := d.conn()
-			d.read(c)
+			c := d.nextConn()
+			d.readRequest(c)
 			io.WriteString(c, text)
 			b := d.start(0)
-			other := d.conn()
-			d.read(other)
-			io.WriteString(other, served("fine"))
-			d.outcome(b, logic.OK)
-			d.b.Drop(a)
-			d.outcome(a, logic.Reset)
+			other := d.nextConn()
+			d.readRequest(other)
+			io.WriteString(other, okAnswer("fine"))
+			d.expectOutcome(b, logic.OK)
+			d.back.Drop(a)
+			d.expectOutcome(a, logic.Reset)
 		})
 	}
 }
 
-// Many attempts at once, with ends, drops, recalls and moves of the target in any order: each is brought one end.
+// Exactly one outcome is reported for each of many concurrent attempts, with answers, drops, recalls and changes of the
+// target in any order.
 func TestEachAttemptEndsOnce(t *testing.T) {
-	d := newBed(t, false)
+	d := newTestBack(t, false)
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -435,7 +440,7 @@
 					case 4:
 						return
 					default:
-						io.WriteString(c, served("x"))
+						io.WriteString(c, okAnswer("x"))
 					}
 				}
 			}()
@@ -452,7 +457,7 @@
 			mu.Lock()
 			seen[e.a]++
 			mu.Unlock()
-			d.b.Done(d.Now(), e.a)
+			d.back.Done(d.Now(), e.a)
 		}
 	}()
 	for i := range all {
@@ -463,25 +468,25 @@
 		d.clock.Add(25_000)
 		switch i % 7 {
 		case 2:
-			d.b.Recall(open[len(open)/2])
+			d.back.Recall(open[len(open)/2])
 		case 3, 4, 5:
-			d.b.Drop(open[len(open)*9/10])
+			d.back.Drop(open[len(open)*9/10])
 		case 6:
-			d.move(func(p *core.Place) { p.Started = logic.Micros(i / 50) })
+			d.changeTarget(func(p *core.Place) { p.Started = logic.Micros(i / 50) })
 		}
 	}
-	for _, a := range open { // nothing is waited for any more
-		d.b.Drop(a)
+	for _, a := range open { // ends the attempts that are still in flight
+		d.back.Drop(a)
 	}
 	<-done
 	for _, a := range open {
 		if seen[a] != 1 {
-			t.Fatalf("an attempt with %d ends", seen[a])
+			t.Fatalf("an attempt has %d outcomes, want 1", seen[a])
 		}
 	}
 }
 
-// What an attempt that is given up has left in the system's buffers must not reach its target any more.
+// Data of an attempt that is still in the socket buffer when the attempt is given up must not reach the target.
 func TestGivenUpAttemptSendsNoMore(t *testing.T) {
 	const receives = 4 << 10
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -491,24 +496,24 @@
 		})
 		return err
 	}}
-	d := newBedAt(t, false, small)
+	d := newTestBackOn(t, false, small)
 	a := d.startBody(0, strings.Repeat("x", 60<<10))
-	c := d.conn()
+	c := d.nextConn()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		d.b.mu.Lock()
-		l, ok := a.Conn.(*line)
-		written := ok && l.written
-		d.b.mu.Unlock()
+		d.back.mu.Lock()
+		conn, ok := a.Conn.(*connection)
+		written := ok && conn.written
+		d.back.mu.Unlock()
 		if written {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the system never took it all")
+			t.Fatal("the socket did not take the whole request")
 		}
 	}
-	d.b.Drop(a)
-	d.outcome(a, logic.Reset)
+	d.back.Drop(a)
+	d.expectOutcome(a, logic.Reset)
 	if m := new(http1.Message); http1.NewReader(c).Request(m) == nil {
-		t.Errorf("the target has the whole request, %d bytes, after it was given up", len(m.Body))
+		t.Errorf("the target received the whole request, %d bytes, after it was given up", len(m.Body))
 	}
 }
