--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 is a codec of HTTP/1.1 messages for both sides of a connection (RFC 9112). It reads a message whole
-// or not at all, takes nothing that two readers could frame differently, and holds no more than its bounds. It knows
-// the layout of messages and decides nothing.
+// Package http1 reads HTTP/1.1 messages on both sides of a connection (RFC 9112). It reads a message completely or not
+// at all, rejects messages that two readers could frame differently, and bounds the memory of a message. It handles the
+// syntax of messages only and sets no policy.
 package http1
 
 import (
@@ -9,20 +9,20 @@
 	"io"
 )
 
-// Bounds of a message. A head that is longer, or has more fields, is refused; so is a body.
+// Bounds of a message. A longer head or body, or a head with more fields, is rejected.
 const (
 	MaxHead   = 8 << 10
 	MaxFields = 64
 	MaxBody   = 64 << 10
-	// maxInterim answers of the 1xx kind before the one that counts are skipped.
-	maxInterim = 8
-	firstSize  = 1 << 10 // of a reader's buffer
-	// KeepSize: a buffer that had to grow beyond this is given up after its message, so what is longer stands as long
-	// as anybody holds it.
+	// maxInterim is the number of 1xx answers that are skipped before a final answer.
+	maxInterim  = 8
+	initialSize = 1 << 10 // of a reader's buffer, in bytes
+	// KeepSize is the largest buffer that a reader uses again. A larger one is replaced after its message, so the slices
+	// of a longer message remain valid.
 	KeepSize = 8 << 10
 )
 
-// Error says what cannot be read; Status is what a server answers to it.
+// Error reports a message that violates the syntax or the bounds. Status is the status with which a server answers it.
 type Error struct {
 	Status int
 	What   string
@@ -30,26 +30,26 @@
 
 func (e *Error) Error() string { return e.What }
 
-func bad(status int, format string, a ...any) error {
+func newError(status int, format string, a ...any) error {
 	return &Error{status, fmt.Sprintf(format, a...)}
 }
 
-// Field is one line of a head.
+// Field is a header field.
 type Field struct{ Name, Value []byte }
 
-// Message is a message that was read. What it holds belongs to its reader and stands until the next one is read.
+// Message is a message that was read. Its slices belong to the reader and are valid until the next message is read.
 type Message struct {
-	Method, Target []byte // of a request
-	Status         int    // of an answer
+	Method, Target []byte // of a request only
+	Status         int    // of an answer only
 	Fields         []Field
 	Body           []byte
-	Close          bool // the sender ends the connection after it
-	ToEnd          bool // the body of an answer lasts until then, as nothing else tells its length
+	Close          bool // the sender closes the connection after the message
+	ToEnd          bool // the body of the answer ends with the connection, as its length is not specified
 
-	length int64 // of the body; below zero: in chunks
+	bodyLength int64 // negative: chunked
 }
 
-// Get is the value of the only field of that name, given in lower case; nil where there is none, or several.
+// Get returns the value of the only field with a name, given in lower case. It returns nil for none or several fields.
 func (m *Message) Get(name string) []byte {
 	v, n := m.find(name)
 	if n != 1 {
@@ -58,7 +58,7 @@
 	return v
 }
 
-// Count tells how many fields have that name, given in lower case.
+// Count returns the number of fields with a name, given in lower case.
 func (m *Message) Count(name string) int {
 	_, n := m.find(name)
 	return n
@@ -74,7 +74,7 @@
 	return v, n
 }
 
-// equalFold compares with a name in lower case.
+// equalFold compares b with a lower-case name, ignoring the case of b.
 func equalFold(b []byte, lower string) bool {
 	if len(b) != len(lower) {
 		return false
@@ -92,27 +92,28 @@
 
 // Reader reads messages from one connection.
 type Reader struct {
-	// Grant is asked for room before a body beyond KeepSize is read; nil: there is room.
+	// Grant is called before a body of more than KeepSize bytes is read, and reports whether n bytes of memory may be
+	// used; nil: they always may.
 	Grant func(n int) bool
 
 	src io.Reader
-	buf []byte // buf[:len] was read; the message at hand begins at 0
-	pos int    // what is behind the message at hand begins here
+	buf []byte // data that was read; the current message begins at 0
+	pos int    // offset of the data after the current message
 }
 
-// NewReader reads from src.
-func NewReader(src io.Reader) *Reader { return &Reader{src: src, buf: make([]byte, 0, firstSize)} }
+// NewReader returns a reader of the messages in src.
+func NewReader(src io.Reader) *Reader { return &Reader{src: src, buf: make([]byte, 0, initialSize)} }
 
-// Buffered is how many bytes have come after the message at hand.
+// Buffered returns the number of bytes that were read after the current message.
 func (r *Reader) Buffered() int { return len(r.buf) - r.pos }
 
-// Wait returns when bytes stand behind the message at hand, or with the error that ended the connection. The message
-// stays as it is.
+// Wait returns once data after the current message was read, or with the error that ended the connection. The message
+// remains valid.
 func (r *Reader) Wait() error {
 	for r.Buffered() == 0 {
 		if cap(r.buf)-len(r.buf) < 128 || cap(r.buf) > KeepSize {
-			// The message's slices keep the old array, and a peer that says nothing holds little.
-			r.buf, r.pos = make([]byte, 0, firstSize), 0
+			// The slices of the message keep the old array, and a silent peer occupies little memory.
+			r.buf, r.pos = make([]byte, 0, initialSize), 0
 		}
 		if err := r.read(); err != nil {
 			return err
@@ -133,63 +134,63 @@
 	return err
 }
 
-// more reads on; the buffer grows up to most bytes.
-func (r *Reader) more(most int) error {
+// fill reads more data and grows the buffer up to limit bytes.
+func (r *Reader) fill(limit int) error {
 	if len(r.buf) == cap(r.buf) {
-		if len(r.buf) >= most {
+		if len(r.buf) >= limit {
 			return io.ErrShortBuffer
 		}
-		grown := make([]byte, len(r.buf), min(2*cap(r.buf), most))
+		grown := make([]byte, len(r.buf), min(2*cap(r.buf), limit))
 		copy(grown, r.buf)
 		r.buf = grown
 	}
 	return r.read()
 }
 
-// begin drops the message at hand.
-func (r *Reader) begin() {
+// discardMessage removes the current message from the buffer.
+func (r *Reader) discardMessage() {
 	rest := r.buf[r.pos:]
 	if r.pos == 0 {
 		return
 	}
-	if cap(r.buf) > KeepSize && len(rest) <= firstSize {
-		r.buf = append(make([]byte, 0, firstSize), rest...)
+	if cap(r.buf) > KeepSize && len(rest) <= initialSize {
+		r.buf = append(make([]byte, 0, initialSize), rest...)
 	} else {
 		r.buf = r.buf[:copy(r.buf, rest)]
 	}
 	r.pos = 0
 }
 
-// Request reads the next request. An [*Error] says that what came is none; any other error ended the connection.
+// Request reads the next request. An [*Error] reports an invalid request; any other error ended the connection.
 func (r *Reader) Request(m *Message) error {
-	r.begin()
-	head, err := r.head()
+	r.discardMessage()
+	head, err := r.readHead()
 	if err != nil {
 		return err
 	}
-	if err := m.request(head); err != nil {
+	if err := m.parseRequest(head); err != nil {
 		return err
 	}
-	return r.body(m, len(head))
+	return r.readBody(m, len(head))
 }
 
-// Answer reads the next answer whole, past those of the 1xx kind.
+// Answer reads the next answer with its body. It skips 1xx answers.
 func (r *Reader) Answer(m *Message) error {
 	if err := r.AnswerHead(m); err != nil {
 		return err
 	}
-	return r.body(m, r.pos)
+	return r.readBody(m, r.pos)
 }
 
-// AnswerHead reads the head of the next answer; what is behind it is left to [Reader.Body].
+// AnswerHead reads the head of the next answer. The body is read with [Reader.Body].
 func (r *Reader) AnswerHead(m *Message) error {
 	for i := 0; ; i++ {
-		r.begin()
-		head, err := r.head()
+		r.discardMessage()
+		head, err := r.readHead()
 		if err != nil {
 			return err
 		}
-		if err := m.answer(head); err != nil {
+		if err := m.parseAnswer(head); err != nil {
 			return err
 		}
 		r.pos = len(head)
@@ -197,20 +198,20 @@
 			return nil
 		}
 		if m.Status == 101 || i >= maxInterim {
-			return bad(502, "too many interim answers, or one that changes the protocol")
+			return newError(502, "too many interim answers, or one that changes the protocol")
 		}
 	}
 }
 
-// head reads up to the empty line. What cannot be part of a head ends it at once.
-func (r *Reader) head() ([]byte, error) {
-	line := 0 // where the line at hand begins
+// readHead reads up to the empty line after a head. It fails at the first byte that cannot be part of a head.
+func (r *Reader) readHead() ([]byte, error) {
+	lineStart := 0 // offset of the current line
 	for i := 0; ; i++ {
 		for i >= len(r.buf) {
 			if i >= MaxHead {
-				return nil, bad(431, "the head is longer than %d bytes", MaxHead)
+				return nil, newError(431, "the head is longer than %d bytes", MaxHead)
 			}
-			if err := r.more(MaxHead); err != nil {
+			if err := r.fill(MaxHead); err != nil {
 				if err == io.EOF && i > 0 {
 					err = io.ErrUnexpectedEOF
 				}
@@ -219,101 +220,101 @@
 		}
 		switch c := r.buf[i]; {
 		case c == '\n':
-			if i == line || r.buf[i-1] != '\r' {
-				return nil, bad(400, "a line of the head ends without CR")
+			if i == lineStart || r.buf[i-1] != '\r' {
+				return nil, newError(400, "a line of the head ends without CR")
 			}
-			if i == line+1 {
-				if line == 0 {
-					return nil, bad(400, "the head is empty")
+			if i == lineStart+1 {
+				if lineStart == 0 {
+					return nil, newError(400, "the head is empty")
 				}
 				return r.buf[:i+1], nil
 			}
-			line = i + 1
-		case i > line && r.buf[i-1] == '\r':
-			return nil, bad(400, "a CR within a line of the head")
+			lineStart = i + 1
+		case i > lineStart && r.buf[i-1] == '\r':
+			return nil, newError(400, "a CR within a line of the head")
 		case c == '\r' || c == '\t' || c >= 0x20 && c < 0x7f:
 		default:
-			return nil, bad(400, "byte %#x in the head", c)
+			return nil, newError(400, "byte %#x in the head", c)
 		}
 	}
 }
 
-func (m *Message) request(head []byte) error {
+func (m *Message) parseRequest(head []byte) error {
 	line, rest, _ := bytes.Cut(head, crlf)
 	method, line, ok1 := bytes.Cut(line, space)
 	target, version, ok2 := bytes.Cut(line, space)
-	if !ok1 || !ok2 || !token(method) || len(target) == 0 || target[0] != '/' || bytes.IndexByte(target, '\t') >= 0 {
-		return bad(400, "the request line cannot be read")
+	if !ok1 || !ok2 || !isToken(method) || len(target) == 0 || target[0] != '/' || bytes.IndexByte(target, '\t') >= 0 {
+		return newError(400, "the request line cannot be read")
 	}
 	if string(version) != "HTTP/1.1" {
-		return bad(505, "the version is not HTTP/1.1")
+		return newError(505, "the version is not HTTP/1.1")
 	}
 	m.Method, m.Target, m.Status = method, target, 0
-	if err := m.fields(rest); err != nil {
+	if err := m.parseFields(rest); err != nil {
 		return err
 	}
 	if m.Count("host") != 1 {
-		return bad(400, "there must be one Host")
+		return newError(400, "there must be one Host")
 	}
-	return m.frame(true)
+	return m.parseFraming(true)
 }
 
-func (m *Message) answer(head []byte) error {
+func (m *Message) parseAnswer(head []byte) error {
 	line, rest, _ := bytes.Cut(head, crlf)
 	const start = "HTTP/1.1 "
 	if len(line) < len(start)+3 || string(line[:len(start)]) != start || len(line) > len(start)+3 && line[len(start)+3] != ' ' {
-		return bad(502, "the status line cannot be read")
+		return newError(502, "the status line cannot be read")
 	}
 	m.Method, m.Target, m.Status = nil, nil, 0
 	for _, c := range line[len(start) : len(start)+3] {
 		if c < '0' || c > '9' {
-			return bad(502, "the status line cannot be read")
+			return newError(502, "the status line cannot be read")
 		}
 		m.Status = m.Status*10 + int(c-'0')
 	}
 	if m.Status < 100 || m.Status > 599 {
-		return bad(502, "status %d", m.Status)
+		return newError(502, "status %d", m.Status)
 	}
-	if err := m.fields(rest); err != nil {
+	if err := m.parseFields(rest); err != nil {
 		return err
 	}
-	return m.frame(false)
+	return m.parseFraming(false)
 }
 
 var crlf, space = []byte("\r\n"), []byte(" ")
 
-func (m *Message) fields(b []byte) error {
+func (m *Message) parseFields(b []byte) error {
 	m.Fields = m.Fields[:0]
 	for len(b) > 2 {
 		line, rest, _ := bytes.Cut(b, crlf)
 		b = rest
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !token(name) { // a folded line begins with a space, so it has no name
-			return bad(400, "a field without a name, or folded")
+		if !ok || !isToken(name) { // a folded line begins with white space, so it has no valid name
+			return newError(400, "a field without a name, or folded")
 		}
 		if len(m.Fields) == MaxFields {
-			return bad(431, "more than %d fields", MaxFields)
+			return newError(431, "more than %d fields", MaxFields)
 		}
 		m.Fields = append(m.Fields, Field{name, bytes.Trim(value, " \t")})
 	}
 	return nil
 }
 
-// frame finds how long the body is.
-func (m *Message) frame(request bool) error {
-	m.Close, m.ToEnd, m.length, m.Body = false, false, 0, nil
+// parseFraming determines the length of the body.
+func (m *Message) parseFraming(request bool) error {
+	m.Close, m.ToEnd, m.bodyLength, m.Body = false, false, 0, nil
 	lengths, codings := 0, 0
 	for i := range m.Fields {
 		switch f := &m.Fields[i]; {
 		case equalFold(f.Name, "content-length"):
 			lengths++
-			if m.length = Digits(f.Value); m.length < 0 {
-				return bad(400, "Content-Length cannot be read")
+			if m.bodyLength = Digits(f.Value); m.bodyLength < 0 {
+				return newError(400, "Content-Length cannot be read")
 			}
 		case equalFold(f.Name, "transfer-encoding"):
 			codings++
 			if !equalFold(f.Value, "chunked") {
-				return bad(400, "Transfer-Encoding is not chunked alone")
+				return newError(400, "Transfer-Encoding is not chunked alone")
 			}
 		case equalFold(f.Name, "connection"):
 			for part := range bytes.SplitSeq(f.Value, []byte(",")) {
@@ -323,12 +324,12 @@
 	}
 	switch {
 	case lengths+codings > 1:
-		return bad(400, "several lengths, or one beside Transfer-Encoding")
+		return newError(400, "several lengths, or one beside Transfer-Encoding")
 	case codings == 1:
-		m.length = -1
+		m.bodyLength = -1
 	case !request && (m.Status < 200 || m.Status == 204 || m.Status == 304):
-		if m.length != 0 {
-			return bad(502, "status %d with a body", m.Status)
+		if m.bodyLength != 0 {
+			return newError(502, "status %d with a body", m.Status)
 		}
 	case !request && lengths == 0:
 		m.Close, m.ToEnd = true, true
@@ -336,7 +337,8 @@
 	return nil
 }
 
-// Digits reads a whole number that is written in digits alone; below zero: it is none, or beyond all bounds.
+// Digits parses a whole number that consists of digits only. It returns -1 if b is anything else or has more than 18
+// digits.
 func Digits(b []byte) int64 {
 	if len(b) == 0 || len(b) > 18 {
 		return -1
@@ -351,7 +353,7 @@
 	return n
 }
 
-func token(b []byte) bool {
+func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
 		case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
@@ -363,47 +365,47 @@
 	return len(b) > 0
 }
 
-// body reads the body that begins at the given place of the buffer, in place.
-func (r *Reader) body(m *Message, at int) error {
+// readBody reads the body that begins at an offset of the buffer, into the buffer.
+func (r *Reader) readBody(m *Message, offset int) error {
 	if m.ToEnd {
-		return r.toEnd(m, at)
+		return r.readToEnd(m, offset)
 	}
-	if m.length >= 0 {
-		if m.length > MaxBody {
-			return bad(413, "a body of %d bytes, more than %d", m.length, MaxBody)
+	if m.bodyLength >= 0 {
+		if m.bodyLength > MaxBody {
+			return newError(413, "a body of %d bytes, more than %d", m.bodyLength, MaxBody)
 		}
-		if err := r.room(int(m.length)); err != nil {
+		if err := r.reserve(int(m.bodyLength)); err != nil {
 			return err
 		}
-		end := at + int(m.length)
-		if m.length > KeepSize && cap(r.buf) < end {
+		end := offset + int(m.bodyLength)
+		if m.bodyLength > KeepSize && cap(r.buf) < end {
 			r.buf = append(make([]byte, 0, end), r.buf...)
 		}
 		for len(r.buf) < end {
-			if err := r.more(end); err != nil {
-				return unexpected(err)
+			if err := r.fill(end); err != nil {
+				return unexpectedEOF(err)
 			}
 		}
-		m.Body, r.pos = r.buf[at:end:end], end
+		m.Body, r.pos = r.buf[offset:end:end], end
 		return nil
 	}
-	// Of chunks the data is moved together behind the head; what is not read yet stands from pos on.
-	end := at
-	r.pos = at
+	// The data of the chunks is joined behind the head, up to end. Data that was not decoded yet begins at pos.
+	end := offset
+	r.pos = offset
 	for {
-		n, err := r.chunk(end)
+		n, err := r.readChunkSize(end)
 		if err != nil {
 			return err
 		}
 		if n == 0 {
-			m.Body = r.buf[at:end:end]
+			m.Body = r.buf[offset:end:end]
 			return nil
 		}
-		if end-at+n > MaxBody {
-			return bad(413, "the body is longer than %d bytes", MaxBody)
+		if end-offset+n > MaxBody {
+			return newError(413, "the body is longer than %d bytes", MaxBody)
 		}
-		if end-at <= KeepSize && end-at+n > KeepSize {
-			if err := r.room(MaxBody); err != nil {
+		if end-offset <= KeepSize && end-offset+n > KeepSize {
+			if err := r.reserve(MaxBody); err != nil {
 				return err
 			}
 		}
@@ -423,22 +425,22 @@
 	}
 }
 
-// toEnd reads a body that lasts until its sender has ended the connection; one that breaks is none.
-func (r *Reader) toEnd(m *Message, at int) error {
+// readToEnd reads a body that ends when its sender closes the connection. A connection that breaks is an error.
+func (r *Reader) readToEnd(m *Message, offset int) error {
 	granted := false
 	for {
-		n := len(r.buf) - at
+		n := len(r.buf) - offset
 		if n > MaxBody {
-			return bad(413, "the body is longer than %d bytes", MaxBody)
+			return newError(413, "the body is longer than %d bytes", MaxBody)
 		}
 		if n > KeepSize && !granted {
-			if err := r.room(MaxBody); err != nil {
+			if err := r.reserve(MaxBody); err != nil {
 				return err
 			}
 			granted = true
 		}
-		if err := r.more(at + MaxBody + 1); err == io.EOF {
-			m.Body, r.pos = r.buf[at:len(r.buf):len(r.buf)], len(r.buf)
+		if err := r.fill(offset + MaxBody + 1); err == io.EOF {
+			m.Body, r.pos = r.buf[offset:len(r.buf):len(r.buf)], len(r.buf)
 			return nil
 		} else if err != nil {
 			return err
@@ -446,40 +448,40 @@
 	}
 }
 
-// room asks for what a body needs beyond what every reader may hold.
-func (r *Reader) room(n int) error {
+// reserve asks Grant for the memory of a body that is longer than KeepSize.
+func (r *Reader) reserve(n int) error {
 	if n > KeepSize && r.Grant != nil && !r.Grant(n) {
-		return bad(503, "no room for a body of %d bytes", n)
+		return newError(503, "no room for a body of %d bytes", n)
 	}
 	return nil
 }
 
-// compact moves what is not read yet down to end, and reads on.
+// compact moves data that was not decoded yet down to end, and reads more.
 func (r *Reader) compact(end int) error {
 	r.buf = r.buf[:end+copy(r.buf[end:], r.buf[r.pos:])]
 	r.pos = end
-	return unexpected(r.more(MaxHead + MaxBody + 64))
+	return unexpectedEOF(r.fill(MaxHead + MaxBody + 64))
 }
 
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// chunk reads the line before a chunk's data; 0: the last one, with the empty trailer behind it.
-func (r *Reader) chunk(end int) (n int, err error) {
+// readChunkSize reads the line before a chunk's data. It returns 0 for the last chunk, after the empty trailer section.
+func (r *Reader) readChunkSize(end int) (n int, err error) {
 	for digits := 0; ; digits++ {
 		for r.Buffered() == 0 {
 			if err := r.compact(end); err != nil {
 				return 0, err
 			}
 		}
-		d := hex(r.buf[r.pos])
+		d := hexDigit(r.buf[r.pos])
 		if d < 0 || digits == 8 {
 			if digits == 0 || digits == 8 {
-				return 0, bad(400, "the size of a chunk cannot be read")
+				return 0, newError(400, "the size of a chunk cannot be read")
 			}
 			break
 		}
@@ -503,14 +505,14 @@
 			}
 		}
 		if r.buf[r.pos] != c {
-			return bad(400, "a chunk does not end where it should")
+			return newError(400, "a chunk does not end where it should")
 		}
 		r.pos++
 	}
 	return nil
 }
 
-func hex(c byte) int {
+func hexDigit(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0')
@@ -522,34 +524,34 @@
 	return -1
 }
 
-// Body streams the body of the answer whose head was read last.
+// Body returns a reader of the body of the answer whose head was read last.
 func (r *Reader) Body(m *Message) io.Reader {
-	return &stream{r: r, left: m.length, chunks: m.length < 0, toEnd: m.ToEnd}
+	return &bodyStream{r: r, left: m.bodyLength, chunked: m.bodyLength < 0, toEnd: m.ToEnd}
 }
 
-type stream struct {
-	r      *Reader
-	left   int64 // of the chunk at hand, or the body
-	chunks bool
-	toEnd  bool
-	begun  bool
-	ended  bool
+type bodyStream struct {
+	r        *Reader
+	left     int64 // unread bytes of the current chunk or of the body
+	chunked  bool
+	toEnd    bool
+	started  bool
+	finished bool
 }
 
-func (s *stream) Read(p []byte) (int, error) {
+func (s *bodyStream) Read(p []byte) (int, error) {
 	r := s.r
-	if s.chunks && s.left <= 0 && !s.ended {
-		if s.begun {
+	if s.chunked && s.left <= 0 && !s.finished {
+		if s.started {
 			if err := r.expect(0, crlf); err != nil {
 				return 0, err
 			}
 		}
-		s.begun = true
-		n, err := r.chunk(0)
+		s.started = true
+		n, err := r.readChunkSize(0)
 		if err != nil {
 			return 0, err
 		}
-		s.left, s.ended = int64(n), n == 0
+		s.left, s.finished = int64(n), n == 0
 	}
 	if s.toEnd {
 		s.left = int64(len(p))
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,24 +10,24 @@
 	"testing/iotest"
 )
 
-func request(s string) (*Message, *Reader, error) {
+func readRequest(s string) (*Message, *Reader, error) {
 	r, m := NewReader(strings.NewReader(s)), new(Message)
 	return m, r, r.Request(m)
 }
 
 func TestRequests(t *testing.T) {
-	m, r, err := request("PUT /a/b?c=d HTTP/1.1\r\nHost: x\r\nRequest-Id:  7 \r\nContent-Length: 3\r\n\r\nabcGET")
+	m, r, err := readRequest("PUT /a/b?c=d HTTP/1.1\r\nHost: x\r\nRequest-Id:  7 \r\nContent-Length: 3\r\n\r\nabcGET")
 	if err != nil || string(m.Method) != "PUT" || string(m.Target) != "/a/b?c=d" || string(m.Get("request-id")) != "7" ||
 		string(m.Body) != "abc" || r.Buffered() != 3 || m.Close {
 		t.Fatalf("%v %+v %d", err, m, r.Buffered())
 	}
-	m, _, err = request("PUT / HTTP/1.1\r\nhost: x\r\nTransfer-Encoding: Chunked\r\nConnection: a, Close\r\n\r\n3\r\nabc\r\n0A\r\n0123456789\r\n0\r\n\r\n")
+	m, _, err = readRequest("PUT / HTTP/1.1\r\nhost: x\r\nTransfer-Encoding: Chunked\r\nConnection: a, Close\r\n\r\n3\r\nabc\r\n0A\r\n0123456789\r\n0\r\n\r\n")
 	if err != nil || string(m.Body) != "abc0123456789" || !m.Close {
 		t.Fatalf("%v %q", err, m.Body)
 	}
 }
 
-// What two readers could frame differently, or what cannot be read, is refused before anything of it is used.
+// A request that is invalid, or that two readers could frame differently, is rejected before any of it is used.
 func TestBadRequests(t *testing.T) {
 	head := "PUT /a HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
@@ -73,14 +73,14 @@
 		"trailer":              {head + "Transfer-Encoding: chunked\r\n\r\n0\r\nA: b\r\n\r\n", 400},
 		"chunked far too much": {head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), 413},
 	} {
-		_, _, err := request(c.in)
-		var odd *Error
-		if !errors.As(err, &odd) || odd.Status != c.status {
+		_, _, err := readRequest(c.in)
+		var protocolErr *Error
+		if !errors.As(err, &protocolErr) || protocolErr.Status != c.status {
 			t.Errorf("%s: %v, want status %d", name, err, c.status)
 		}
 	}
 	for _, in := range []string{"PUT /a HT", head + "Content-Length: 3\r\n\r\nab", head + "Transfer-Encoding: chunked\r\n\r\n5\r\nab"} {
-		if _, _, err := request(in); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, _, err := readRequest(in); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%q cut off: %v", in, err)
 		}
 	}
@@ -109,15 +109,15 @@
 		"both lengths":     "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"204 with a body":  "HTTP/1.1 204 None\r\nContent-Length: 3\r\n\r\nabc",
 	} {
-		var odd *Error
-		if err := NewReader(strings.NewReader(in)).Answer(m); !errors.As(err, &odd) {
+		var protocolErr *Error
+		if err := NewReader(strings.NewReader(in)).Answer(m); !errors.As(err, &protocolErr) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// An answer of no told length ends with its connection, and in no other way: a reset is no end. The operators' page goes
-// before the older one, by which such an answer could not be read.
+// An answer of unspecified length ends only when its connection is closed; a reset is an error. The operators require
+// that such an answer is read, which overrides an older rule by which it was invalid.
 func TestAnswerToTheEnd(t *testing.T) {
 	for _, n := range []int{0, 1, KeepSize, KeepSize + 1, MaxBody} {
 		body := strings.Repeat("x", n)
@@ -135,18 +135,18 @@
 		r := NewReader(strings.NewReader(text))
 		r.Grant = func(int) bool { return false }
 		if err := r.Answer(new(Message)); (err != nil) != (n > KeepSize) {
-			t.Errorf("%d bytes without room: %v", n, err)
+			t.Errorf("%d bytes without a grant: %v", n, err)
 		}
 	}
 }
 
-// A long answer is taken where there is room for it, and what is held of it stands after the next was read.
+// A long answer is read if memory for it is granted, and its body remains valid after the next answer was read.
 func TestLongAnswer(t *testing.T) {
 	long := strings.Repeat("x", MaxBody)
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
 	r, m := NewReader(strings.NewReader(text+text)), new(Message)
-	asked := 0
-	r.Grant = func(n int) bool { asked++; return n == len(long) && asked == 1 }
+	grants := 0
+	r.Grant = func(n int) bool { grants++; return n == len(long) && grants == 1 }
 	if err := r.Answer(m); err != nil || len(m.Body) != len(long) {
 		t.Fatal(err, len(m.Body))
 	}
@@ -154,28 +154,29 @@
 	if err := r.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	var odd *Error
-	if err := r.Answer(m); !errors.As(err, &odd) || odd.Status != 503 {
-		t.Fatal("there was no room, yet it was read:", err)
+	var protocolErr *Error
+	if err := r.Answer(m); !errors.As(err, &protocolErr) || protocolErr.Status != 503 {
+		t.Fatal("the answer was read without a grant:", err)
 	}
 	if string(body) != long {
-		t.Fatal("what is held has changed")
+		t.Fatal("the body of the first answer has changed")
 	}
 }
 
-// A body that many readers together could not hold is not read before there is room for it, told or in chunks.
+// A long body, with a length or chunked, is not read before memory for it is granted. Otherwise many readers together
+// could use too much memory.
 func TestNoRoom(t *testing.T) {
 	for _, body := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", KeepSize+1), "Transfer-Encoding: chunked\r\n\r\n1000\r\n" + strings.Repeat("x", 0x1000) + "\r\n2000\r\n"} {
 		r := NewReader(strings.NewReader("PUT /a HTTP/1.1\r\nHost: x\r\n" + body))
 		r.Grant = func(int) bool { return false }
-		var odd *Error
-		if err := r.Request(new(Message)); !errors.As(err, &odd) || odd.Status != 503 || cap(r.buf) > 2*KeepSize {
-			t.Errorf("%.40q: %v, %d bytes held", body, err, cap(r.buf))
+		var protocolErr *Error
+		if err := r.Request(new(Message)); !errors.As(err, &protocolErr) || protocolErr.Status != 503 || cap(r.buf) > 2*KeepSize {
+			t.Errorf("%.40q: %v, buffer of %d bytes", body, err, cap(r.buf))
 		}
 	}
 }
 
-// Wait tells that more has come and leaves the message at hand as it is.
+// Wait returns when more data has arrived and leaves the current message valid.
 func TestWaitKeepsTheMessage(t *testing.T) {
 	from, to := io.Pipe()
 	r, m := NewReader(from), new(Message)
@@ -209,13 +210,13 @@
 	}
 }
 
-// pieces gives its bytes in pieces of the sizes that seed says.
-type pieces struct {
+// pieceReader returns its bytes in pieces whose sizes depend on seed.
+type pieceReader struct {
 	b    []byte
 	seed byte
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *pieceReader) Read(b []byte) (int, error) {
 	if len(p.b) == 0 {
 		return 0, io.EOF
 	}
@@ -225,39 +226,39 @@
 	return n, nil
 }
 
-// whole reads all messages of b and writes down what they were.
-func whole(src io.Reader, read func(*Reader, *Message) error, t *testing.T) string {
+// transcript reads all messages of src and returns them as text.
+func transcript(src io.Reader, read func(*Reader, *Message) error, t *testing.T) string {
 	r, m := NewReader(src), new(Message)
 	var out strings.Builder
 	for range 50 {
 		err := read(r, m)
 		if cap(r.buf) > 2*(MaxHead+MaxBody) {
-			t.Fatalf("%d bytes held", cap(r.buf))
+			t.Fatalf("the buffer has %d bytes", cap(r.buf))
 		}
 		if err != nil {
-			var odd *Error
-			if errors.As(err, &odd) {
-				fmt.Fprint(&out, odd)
+			var protocolErr *Error
+			if errors.As(err, &protocolErr) {
+				fmt.Fprint(&out, protocolErr)
 			} else {
 				fmt.Fprint(&out, "cut off")
 			}
 			break
 		}
 		if len(m.Body) > MaxBody || len(m.Fields) > MaxFields {
-			t.Fatal("beyond the bounds")
+			t.Fatal("the message exceeds the bounds")
 		}
 		if n, c := m.Count("content-length"), m.Count("transfer-encoding"); n+c > 1 {
-			t.Fatal("two lengths were taken")
+			t.Fatal("a message with two lengths was accepted")
 		}
 		fmt.Fprintf(&out, "%q %q %d %q %q %v\n", m.Method, m.Target, m.Status, m.Fields, m.Body, m.Close)
 	}
 	return out.String()
 }
 
-func fuzz(f *testing.F, read func(*Reader, *Message) error) {
+func fuzzReader(f *testing.F, read func(*Reader, *Message) error) {
 	f.Fuzz(func(t *testing.T, b []byte, seed byte) {
-		once := whole(bytes.NewReader(b), read, t)
-		if parts := whole(&pieces{bytes.Clone(b), seed}, read, t); once != parts {
+		once := transcript(bytes.NewReader(b), read, t)
+		if parts := transcript(&pieceReader{bytes.Clone(b), seed}, read, t); once != parts {
 			t.Fatalf("whole: %s\nin pieces: %s", once, parts)
 		}
 	})
@@ -266,18 +267,18 @@
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("PUT /a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: x\r\n\r\n"), byte(1))
 	f.Add([]byte("PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nPUT / HTTP/1.1\r\nHost: x\r\n\r\n"), byte(2))
-	fuzz(f, (*Reader).Request)
+	fuzzReader(f, (*Reader).Request)
 }
 
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), byte(3))
-	fuzz(f, (*Reader).Answer)
+	fuzzReader(f, (*Reader).Answer)
 }
 
 func BenchmarkRequest(b *testing.B) {
 	one := []byte("PUT /checkout/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: api\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Class: checkout\r\nX-Storage-Class: gold\r\nRequest-Timeout: 480m\r\nContent-Length: 3\r\nX-Extent: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\nabc")
 	b.ReportAllocs()
-	r, m := NewReader(&again{b: one}), new(Message)
+	r, m := NewReader(&loopReader{b: one}), new(Message)
 	for b.Loop() {
 		if err := r.Request(m); err != nil {
 			b.Fatal(err)
@@ -285,12 +286,12 @@
 	}
 }
 
-type again struct {
+type loopReader struct {
 	b  []byte
 	at int
 }
 
-func (a *again) Read(p []byte) (int, error) {
+func (a *loopReader) Read(p []byte) (int, error) {
 	n := copy(p, a.b[a.at:])
 	a.at = (a.at + n) % len(a.b)
 	return n, nil
