--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,5 +1,5 @@
-// Package sock is a TCP connection that can be written to and looked at without waiting, which the one who runs a
-// core must never do.
+// Package sock provides a TCP connection with non-blocking writes and checks. The goroutine that runs a core uses them,
+// as it must never block.
 package sock
 
 import (
@@ -10,143 +10,143 @@
 	"syscall"
 )
 
-// Conn is a connection. TryWrite and Quiet are not safe to be called at the same time.
+// Conn is a TCP connection. TryWrite, Quiet and the methods that call Quiet must not be called concurrently.
 type Conn struct {
 	*net.TCPConn
-	raw   syscall.RawConn
-	b     []byte
-	n     int
-	err   error
-	write func(fd uintptr) bool
-	peek  func(fd uintptr) bool
+	raw          syscall.RawConn
+	outBuf       []byte
+	written      int
+	opErr        error
+	tryWriteFunc func(fd uintptr) bool
+	peekFunc     func(fd uintptr) bool
 
-	guard sync.Locker
-	saw   func()
-	in    []byte
-	got   int
-	fault error
-	read  func(fd uintptr) bool
+	readMutex sync.Locker
+	onRead    func()
+	inBuf     []byte
+	readCount int
+	readErr   error
+	readFunc  func(fd uintptr) bool
 }
 
-// Guard makes each read take mu while bytes leave the socket, and call saw before it is let go, so that whoever holds
-// mu knows whether something has come: by [Conn.Quiet], or by what saw has noted. It is called before the first read.
-func (s *Conn) Guard(mu sync.Locker, saw func()) {
-	s.guard, s.saw = mu, saw
-	s.read = func(fd uintptr) bool {
-		s.guard.Lock()
-		defer s.guard.Unlock()
-		n, err := syscall.Read(int(fd), s.in)
+// Guard makes each Read hold mu while it reads from the socket, and call onRead before it releases mu. Code that holds
+// mu can therefore tell whether data has arrived: [Conn.Quiet] reports unread data, and onRead has recorded data that was
+// read. Guard must be called before the first Read.
+func (s *Conn) Guard(mu sync.Locker, onRead func()) {
+	s.readMutex, s.onRead = mu, onRead
+	s.readFunc = func(fd uintptr) bool {
+		s.readMutex.Lock()
+		defer s.readMutex.Unlock()
+		n, err := syscall.Read(int(fd), s.inBuf)
 		for err == syscall.EINTR {
-			n, err = syscall.Read(int(fd), s.in)
+			n, err = syscall.Read(int(fd), s.inBuf)
 		}
 		if err == syscall.EAGAIN {
 			return false
 		}
-		s.got, s.fault = max(n, 0), err
-		s.saw()
+		s.readCount, s.readErr = max(n, 0), err
+		s.onRead()
 		return true
 	}
 }
 
 // Read implements [io.Reader].
 func (s *Conn) Read(p []byte) (int, error) {
-	if s.guard == nil {
+	if s.readMutex == nil {
 		return s.TCPConn.Read(p)
 	}
-	s.in = p
-	err := s.raw.Read(s.read)
-	s.in = nil
+	s.inBuf = p
+	err := s.raw.Read(s.readFunc)
+	s.inBuf = nil
 	switch {
 	case err != nil:
 		return 0, err
-	case s.fault != nil:
-		return 0, s.fault
-	case s.got == 0:
+	case s.readErr != nil:
+		return 0, s.readErr
+	case s.readCount == 0:
 		return 0, io.EOF
 	}
-	return s.got, nil
+	return s.readCount, nil
 }
 
-// New wraps a connection.
+// New returns a Conn for c.
 func New(c *net.TCPConn) (*Conn, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	s := &Conn{TCPConn: c, raw: raw}
-	s.write = func(fd uintptr) bool {
-		for s.n < len(s.b) {
-			n, err := syscall.SendmsgN(int(fd), s.b[s.n:], nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
+	s.tryWriteFunc = func(fd uintptr) bool {
+		for s.written < len(s.outBuf) {
+			n, err := syscall.SendmsgN(int(fd), s.outBuf[s.written:], nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
 			switch {
 			case err == syscall.EINTR:
 				continue
 			case err == syscall.EAGAIN:
 				return true
 			case err != nil:
-				s.err = err
+				s.opErr = err
 				return true
 			}
-			s.n += n
+			s.written += n
 		}
 		return true
 	}
-	var one [1]byte
-	s.peek = func(fd uintptr) bool {
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var peekBuf [1]byte
+	s.peekFunc = func(fd uintptr) bool {
+		n, _, err := syscall.Recvfrom(int(fd), peekBuf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 		case err != nil:
-			s.err = err
+			s.opErr = err
 		case n == 0:
-			s.err = io.EOF
+			s.opErr = io.EOF
 		default:
-			s.err = errUnasked
+			s.opErr = errUnreadData
 		}
 		return true
 	}
 	return s, nil
 }
 
-var errUnasked = errors.New("bytes that nobody asked for")
+var errUnreadData = errors.New("unread data from the peer")
 
-// Ended tells whether the peer has closed with nothing left to be read, or the connection broke.
+// Ended reports whether the peer has closed the connection and all its data was read, or the connection is broken.
 func (s *Conn) Ended() bool {
 	err := s.Quiet()
-	return err != nil && err != errUnasked
+	return err != nil && err != errUnreadData
 }
 
-// Waiting tells whether bytes of the peer wait to be read.
-func (s *Conn) Waiting() bool { return s.Quiet() == errUnasked }
+// Waiting reports whether unread data from the peer is available.
+func (s *Conn) Waiting() bool { return s.Quiet() == errUnreadData }
 
-// TryWrite writes what the socket takes at once, which may be less than all without an error.
+// TryWrite writes the bytes that the socket takes without blocking. A short write is not an error.
 func (s *Conn) TryWrite(b []byte) (int, error) {
-	s.b, s.n, s.err = b, 0, nil
-	err := s.raw.Write(s.write)
-	s.b = nil
+	s.outBuf, s.written, s.opErr = b, 0, nil
+	err := s.raw.Write(s.tryWriteFunc)
+	s.outBuf = nil
 	if err == nil {
-		err = s.err
+		err = s.opErr
 	}
-	return s.n, err
+	return s.written, err
 }
 
-// Quiet gives an error where the peer has sent something that was not read yet, or has closed.
+// Quiet returns an error if there is unread data from the peer, or the peer has closed the connection, or it is broken.
 func (s *Conn) Quiet() error {
-	s.err = nil
-	if err := s.raw.Control(func(fd uintptr) { s.peek(fd) }); err != nil {
+	s.opErr = nil
+	if err := s.raw.Control(func(fd uintptr) { s.peekFunc(fd) }); err != nil {
 		return err
 	}
-	return s.err
+	return s.opErr
 }
 
-// Shut ends the connection both ways without waiting for anybody: reads and writes on it end. Its reader then closes
-// it. Who holds the guard must not call Close, which waits for the reader.
+// Shut shuts the connection down in both directions without blocking, which ends reads and writes on it. Its reader
+// then closes it. Code that holds the mutex of [Conn.Guard] must not call Close, which waits for the reader.
 func (s *Conn) Shut() {
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
-// DropUnsent says what becomes of bytes that the peer has not taken yet when the connection is closed, also by the end
-// of the process: they are dropped and the connection is reset, or the system goes on sending them, as it does by
-// itself.
+// DropUnsent sets whether data that the peer has not received yet is discarded when the connection is closed, also by
+// the end of the process. If so, the connection is reset. By default the system goes on sending the data.
 func (s *Conn) DropUnsent(drop bool) {
 	seconds := -1
 	if drop {
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// pair gives both ends of a connection.
+// pair returns both ends of a connection.
 func pair(t *testing.T) (*Conn, *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	near, err := net.Dial("tcp", l.Addr().String())
+	local, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := l.Accept()
+	remote, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := New(near.(*net.TCPConn))
+	c, err := New(local.(*net.TCPConn))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); far.Close() })
-	return c, far.(*net.TCPConn)
+	t.Cleanup(func() { c.Close(); remote.Close() })
+	return c, remote.(*net.TCPConn)
 }
 
-func soon(t *testing.T, what string, f func()) {
+func failIfSlow(t *testing.T, what string, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() { defer close(done); f() }()
@@ -42,8 +42,8 @@
 	}
 }
 
-// Who holds the guard can end the connection while its reader waits for the guard; Close would wait for the reader,
-// and both for ever.
+// Code that holds the guard can shut the connection down while its reader waits for the guard. Close would deadlock
+// there, as it waits for the reader.
 func TestShutUnderTheGuard(t *testing.T) {
 	c, far := pair(t)
 	var mu sync.Mutex
@@ -61,17 +61,17 @@
 		}
 	}()
 	io.WriteString(far, "x")
-	time.Sleep(50 * time.Millisecond) // the reader is at the guard now, or will be
-	soon(t, "Shut waits for the reader", c.Shut)
+	time.Sleep(50 * time.Millisecond) // by then the reader is likely to wait for the guard
+	failIfSlow(t, "Shut blocks on the reader", c.Shut)
 	mu.Unlock()
-	soon(t, "the reader does not end", func() {
+	failIfSlow(t, "the reader does not return", func() {
 		if err := <-read; err != io.EOF {
 			t.Error(err)
 		}
 	})
 }
 
-// What has come is seen before it was read, and nothing waits.
+// Quiet notices unread data and a close by the peer, and does not block.
 func TestQuiet(t *testing.T) {
 	c, far := pair(t)
 	if err := c.Quiet(); err != nil {
@@ -80,7 +80,7 @@
 	io.WriteString(far, "x")
 	for end := time.Now().Add(10 * time.Second); c.Quiet() == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("bytes were not seen")
+			t.Fatal("unread data was not noticed")
 		}
 	}
 	b := make([]byte, 1)
@@ -88,16 +88,16 @@
 	far.Close()
 	for end := time.Now().Add(10 * time.Second); c.Quiet() != io.EOF; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the end was not seen")
+			t.Fatal("the close was not noticed")
 		}
 	}
 }
 
-// A peer that takes nothing: what fits is written, the rest is told, and nobody waits.
+// When the peer reads nothing, TryWrite writes what fits, returns that count and does not block.
 func TestTryWriteToWhoReadsNothing(t *testing.T) {
 	c, _ := pair(t)
 	b := make([]byte, 64<<20)
-	soon(t, "TryWrite waits", func() {
+	failIfSlow(t, "TryWrite blocks", func() {
 		n, err := c.TryWrite(b)
 		if err != nil || n == 0 || n == len(b) {
 			t.Errorf("%d bytes, %v", n, err)
