--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -33,7 +33,7 @@
 // Front serves the clients of one listener.
 type Front struct {
 	listener net.Listener
-	service  *Service
+	settings  *Service
 	handler  RequestHandler
 	log      *zap.Logger
 	ready    atomic.Bool
@@ -66,8 +66,8 @@
 const sweepInterval = 100 * time.Millisecond
 
 // New returns a front for the clients of listener. [Front.Serve] accepts connections.
-func New(listener net.Listener, service *Service, handler RequestHandler, table *seats.Table, shutdown *leave.Leave, log *zap.Logger) *Front {
-	f := &Front{listener: listener, service: service, handler: handler, seats: table, shutdown: shutdown, log: log, openIDs: map[uint64]struct{}{}, hashSeed: maphash.MakeSeed(), wakeUp: make(chan struct{})}
+func New(listener net.Listener, settings *Service, handler RequestHandler, table *seats.Table, shutdown *leave.Leave, log *zap.Logger) *Front {
+	f := &Front{listener: listener, settings: settings, handler: handler, seats: table, shutdown: shutdown, log: log, openIDs: map[uint64]struct{}{}, hashSeed: maphash.MakeSeed(), wakeUp: make(chan struct{})}
 	f.sweepTimer = time.AfterFunc(sweepInterval, f.sweep)
 	f.reportCapacity()
 	return f
@@ -259,13 +259,13 @@
 			}
 			return
 		}
-		if string(m.Method) == "GET" && string(m.Target) == f.service.Health {
+		if string(m.Method) == "GET" && string(m.Target) == f.settings.Health {
 			if !c.answerHealth(now) {
 				return
 			}
 			continue
 		}
-		if rejection := f.service.parseRequest(&m, &c.request); rejection != nil {
+		if rejection := f.settings.parseRequest(&m, &c.request); rejection != nil {
 			c.reject(now, rejection)
 			return
 		}
