--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -33,7 +33,7 @@
 // Front serves the clients of one listener.
 type Front struct {
 	listener net.Listener
-	settings  *Service
+	settings *RequestSettings
 	handler  RequestHandler
 	log      *zap.Logger
 	ready    atomic.Bool
@@ -66,7 +66,7 @@
 const sweepInterval = 100 * time.Millisecond
 
 // New returns a front for the clients of listener. [Front.Serve] accepts connections.
-func New(listener net.Listener, settings *Service, handler RequestHandler, table *seats.Table, shutdown *leave.Leave, log *zap.Logger) *Front {
+func New(listener net.Listener, settings *RequestSettings, handler RequestHandler, table *seats.Table, shutdown *leave.Leave, log *zap.Logger) *Front {
 	f := &Front{listener: listener, settings: settings, handler: handler, seats: table, shutdown: shutdown, log: log, openIDs: map[uint64]struct{}{}, hashSeed: maphash.MakeSeed(), wakeUp: make(chan struct{})}
 	f.sweepTimer = time.AfterFunc(sweepInterval, f.sweep)
 	f.reportCapacity()
--- a/internal/platform/front/request.go
+++ b/internal/platform/front/request.go
@@ -10,8 +10,8 @@
 	"appleplank/logic"
 )
 
-// Service holds the settings that requests are checked against.
-type Service struct {
+// RequestSettings holds the settings that requests are checked against.
+type RequestSettings struct {
 	Classes map[string]int
 	Plans   map[string]int
 	Repeat  []logic.Repeat // indexed by class
@@ -35,7 +35,7 @@
 func (r *rejectError) Error() string { return r.reason }
 
 // parseRequest fills r from a message, or returns the reason for which it cannot. r keeps slices of the message.
-func (s *Service) parseRequest(m *http1.Message, r *core.Request) *rejectError {
+func (s *RequestSettings) parseRequest(m *http1.Message, r *core.Request) *rejectError {
 	switch string(m.Method) {
 	case "GET":
 		if len(m.Body) > 0 {
@@ -92,7 +92,7 @@
 }
 
 // parseExtent parses a header such as volume=00000003b4d60021,units=2,shard=5,hosts=3.
-func (s *Service) parseExtent(header []byte, r *core.Request) *rejectError {
+func (s *RequestSettings) parseExtent(header []byte, r *core.Request) *rejectError {
 	seen := 0
 	for field := range bytes.SplitSeq(header, []byte(",")) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(field), []byte("="))
