--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -259,7 +259,7 @@
 			}
 			return
 		}
-		if string(m.Method) == "GET" && string(m.Target) == f.settings.Health {
+		if string(m.Method) == "GET" && string(m.Target) == f.settings.HealthPath {
 			if !c.answerHealth(now) {
 				return
 			}
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -58,7 +58,7 @@
 	h := &fakeHandler{taken: make(chan *core.Request, 100), departed: make(chan *core.Request, 100), end: make(chan logic.Micros, 1)}
 	h.advance(1000 * second)
 	s := &RequestSettings{Classes: map[string]int{"look": 0, "save": 1}, Plans: map[string]int{"gold": 0, "thin": 1},
-		Repeat: []logic.Repeat{logic.Retryable, logic.Dedup}, Cells: 4, Health: "/_health"}
+		Repeat: []logic.Repeat{logic.Retryable, logic.Dedup}, Cells: 4, HealthPath: "/_health"}
 	b := &testFront{T: t, fakeHandler: h, front: New(l, s, h, seats.New(seats.Limits{Seats: 20, Bodies: 1 << 20}), leave.New(3*second), zap.NewNop()), addr: l.Addr().String()}
 	served := make(chan error, 1)
 	go func() { served <- b.front.Serve() }()
--- a/internal/platform/front/request.go
+++ b/internal/platform/front/request.go
@@ -12,11 +12,11 @@
 
 // RequestSettings holds the settings that requests are checked against.
 type RequestSettings struct {
-	Classes map[string]int
-	Plans   map[string]int
-	Repeat  []logic.Repeat // indexed by class
-	Cells   int            // number of shards; 0: unknown
-	Health  string         // path of the health check
+	Classes    map[string]int
+	Plans      map[string]int
+	Repeat     []logic.Repeat // indexed by class
+	Cells      int            // number of shards; 0: unknown
+	HealthPath string         // path of the health check
 }
 
 const (
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	service := &front.RequestSettings{Classes: map[string]int{}, Plans: map[string]int{}, Cells: s.FamilyInfo.SlotsTotal, Health: healthPath}
+	service := &front.RequestSettings{Classes: map[string]int{}, Plans: map[string]int{}, Cells: s.FamilyInfo.SlotsTotal, HealthPath: healthPath}
 	for i, x := range s.Classes {
 		service.Classes[x.Name] = i
 		service.Repeat = append(service.Repeat, cfg.Logic.Classes[i].Repeat)
