--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Drain begins the shutdown. The front goes on serving until [Front.Over] reports true.
+// Drain begins the shutdown. The front goes on serving until [Front.Drained] reports true.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	f.shutdown.Told(f.handler.Now())
@@ -132,8 +132,8 @@
 	f.log.Info("told to end", zap.Int("connections", connections))
 }
 
-// Over reports whether the front may be closed after Drain. Once it has reported true, no further requests are accepted.
-func (f *Front) Over() bool {
+// Drained reports whether the front may be closed after Drain. Once it has reported true, no further requests are accepted.
+func (f *Front) Drained() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closing = f.closing || f.shutdown.Over(f.handler.Now(), f.seats.Taken(), f.seats.Busy())
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -429,7 +429,7 @@
 	if _, m := users["early"].expectAnswer(200); m.Close {
 		t.Fatal("the connection is closed too early")
 	}
-	if b.front.Over() {
+	if b.front.Drained() {
 		t.Fatal("Over reports true with a request held")
 	}
 	b.advance(by - b.Now() - 10_000) // shortly before
@@ -442,11 +442,11 @@
 	users["half"].send(putRequest("half1", "x")[:70])
 	b.waitUntil("the request has begun to arrive", func() bool { return b.front.seats.Busy() == 1 })
 	b.advance(20_000)
-	if b.front.Over() {
+	if b.front.Drained() {
 		t.Fatal("Over reports true in the middle of a request")
 	}
 	b.advance(100_000)
-	if !b.front.Over() {
+	if !b.front.Drained() {
 		t.Fatal("Over reports false after the deadline")
 	}
 	done := make(chan struct{})
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -135,7 +135,7 @@
 			defer tick.Stop()
 			look = tick.C
 		case <-look:
-			if in.front.Over() {
+			if in.front.Drained() {
 				in.close()
 				return nil
 			}
