--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -73,8 +73,8 @@
 	return f
 }
 
-// Ready makes the health check succeed.
-func (f *Front) Ready() { f.ready.Store(true) }
+// SetReady makes the health check succeed.
+func (f *Front) SetReady() { f.ready.Store(true) }
 
 // Serve accepts connections until the listener is closed.
 func (f *Front) Serve() error {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -94,9 +94,9 @@
 		longest = max(longest, x.Deadline)
 	}
 	in.front = front.New(listener, service, in.shell, table, leave.New(longest), log)
-	in.watch = discovery.New(cfg.Known, s.Zones, in.shell, in.front.Ready, log)
+	in.watch = discovery.New(cfg.Known, s.Zones, in.shell, in.front.SetReady, log)
 	in.watch.Use(cfg.Discovery)
-	time.AfterFunc(readyBy, in.front.Ready)
+	time.AfterFunc(readyBy, in.front.SetReady)
 	log.Info("an initiator", zap.String("name", cfg.Name), zap.String("listen", cfg.Listen), zap.Any("limits", cfg.Limits),
 		zap.Duration("longest deadline", time.Duration(longest)*time.Microsecond), zap.Int("known targets", len(cfg.Known.Targets)))
 	return in, nil
