--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -29,7 +29,7 @@
 type Settings struct {
 	MaxConnections int           // maximum number of connections
 	MaxAnswerBytes int           // bytes that all answers of more than http1.KeepSize may hold together
-	Idle           logic.Micros  // time after which targets close an idle connection
+	IdleTimeout    logic.Micros  // time after which targets close an idle connection
 	Connect        time.Duration // limit on the time to connect
 	Fields         Fields        // known fields of load reports
 	Trace          *trace.Writer // nil: no trace
@@ -63,7 +63,7 @@
 	if settings.Dial == nil {
 		settings.Dial = new(net.Dialer).DialContext
 	}
-	b := &Back{settings: settings, sink: sink, spares: spares.New(settings.MaxConnections, settings.MaxAnswerBytes, settings.Idle),
+	b := &Back{settings: settings, sink: sink, spares: spares.New(settings.MaxConnections, settings.MaxAnswerBytes, settings.IdleTimeout),
 		targets: map[logic.NodeID]core.Place{}, conns: map[*connection]struct{}{}}
 	b.sweepTimer = time.AfterFunc(sweepInterval, b.sweep)
 	return b
