--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -30,7 +30,7 @@
 	MaxConnections int           // maximum number of connections
 	MaxAnswerBytes int           // bytes that all answers of more than http1.KeepSize may hold together
 	IdleTimeout    logic.Micros  // time after which targets close an idle connection
-	Connect        time.Duration // limit on the time to connect
+	ConnectTimeout time.Duration // limit on the time to connect
 	Fields         Fields        // known fields of load reports
 	Trace          *trace.Writer // nil: no trace
 	// Dial opens a TCP connection; nil: [net.Dialer.DialContext].
@@ -151,7 +151,7 @@
 		b.sink.Ended(a, core.Result{Outcome: logic.Moot, Load: logic.NoLoad}) // nothing was sent
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), b.settings.Connect)
+	ctx, cancel := context.WithTimeout(context.Background(), b.settings.ConnectTimeout)
 	c := &connection{back: b, target: target, cancelDial: cancel}
 	c.spare.Owner = c
 	c.prepare(a, r)
