--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -31,7 +31,7 @@
 	MaxAnswerBytes int           // bytes that all answers of more than http1.KeepSize may hold together
 	IdleTimeout    logic.Micros  // time after which targets close an idle connection
 	ConnectTimeout time.Duration // limit on the time to connect
-	Fields         Fields        // known fields of load reports
+	LoadFields     Fields        // known fields of load reports
 	Trace          *trace.Writer // nil: no trace
 	// Dial opens a TCP connection; nil: [net.Dialer.DialContext].
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -440,7 +440,7 @@
 		b.trace("end", c, strconv.Itoa(m.Status)+c.progress())
 	}
 	b.mu.Unlock()
-	b.sink.Ended(a, parseAnswer(m, written, b.settings.Fields))
+	b.sink.Ended(a, parseAnswer(m, written, b.settings.LoadFields))
 	return true
 }
 
