--- a/internal/platform/target/message.go
+++ b/internal/platform/target/message.go
@@ -12,15 +12,15 @@
 	"appleplank/logic"
 )
 
-// Fields maps the names of the known values of a load report, as they are sent, to their names in the settings.
-type Fields map[string]string
+// LoadFields maps the names of the known values of a load report, as they are sent, to their names in the settings.
+type LoadFields map[string]string
 
 // platformNames maps names of load values in the settings to the names that the platform uses for them.
 var platformNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms"}
 
 // NewFields returns the fields for the load values named in the settings, which are known under both their names.
-func NewFields(settingsNames []string) Fields {
-	fields := Fields{}
+func NewFields(settingsNames []string) LoadFields {
+	fields := LoadFields{}
 	for _, name := range settingsNames {
 		fields[name] = name
 		if platformName, ok := platformNames[name]; ok {
@@ -63,7 +63,7 @@
 
 // parseAnswer returns the result of an attempt from its answer. written tells whether the attempt was written
 // completely.
-func parseAnswer(m *http1.Message, written bool, fields Fields) core.Result {
+func parseAnswer(m *http1.Message, written bool, fields LoadFields) core.Result {
 	res := core.Result{Outcome: logic.Failed, Load: logic.NoLoad}
 	switch notStarted := string(m.Get("not-started")) == "1"; {
 	case notStarted && (m.Status == 503 || m.Status == 504):
@@ -94,7 +94,7 @@
 }
 
 // parseLoad parses a load report such as inflight=7,queue=2,util=0.61. A report with any invalid value is ignored.
-func parseLoad(v []byte, fields Fields) (logic.Load, bool) {
+func parseLoad(v []byte, fields LoadFields) (logic.Load, bool) {
 	l := logic.NoLoad
 	for field := range bytes.SplitSeq(v, []byte(",")) {
 		name, text, ok := bytes.Cut(bytes.TrimSpace(field), []byte("="))
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -31,7 +31,7 @@
 	MaxAnswerBytes int           // bytes that all answers of more than http1.KeepSize may hold together
 	IdleTimeout    logic.Micros  // time after which targets close an idle connection
 	ConnectTimeout time.Duration // limit on the time to connect
-	LoadFields     Fields        // known fields of load reports
+	LoadFields     LoadFields    // known fields of load reports
 	Trace          *trace.Writer // nil: no trace
 	// Dial opens a TCP connection; nil: [net.Dialer.DialContext].
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
