--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -71,7 +71,7 @@
 	in.shell = core.NewShell(c, cfg.Logic.Tick/stepsPerTick, log)
 	in.back = target.New(target.Settings{
 		MaxConnections: b.Lines, MaxAnswerBytes: b.Answers, IdleTimeout: logic.Micros(s.Limits.ConnIdleUs),
-		ConnectTimeout: time.Duration(s.Limits.ConnectTimeoutUs) * time.Microsecond, LoadFields: target.NewFields(s.Report.Fields),
+		ConnectTimeout: time.Duration(s.Limits.ConnectTimeoutUs) * time.Microsecond, LoadFields: target.NewLoadFields(s.Report.Fields),
 		Trace: tr,
 	}, in.shell)
 	in.shell.SetBack(in.back)
--- a/internal/platform/target/message.go
+++ b/internal/platform/target/message.go
@@ -18,8 +18,8 @@
 // platformNames maps names of load values in the settings to the names that the platform uses for them.
 var platformNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms"}
 
-// NewFields returns the fields for the load values named in the settings, which are known under both their names.
-func NewFields(settingsNames []string) LoadFields {
+// NewLoadFields returns the fields for the load values named in the settings, which are known under both their names.
+func NewLoadFields(settingsNames []string) LoadFields {
 	fields := LoadFields{}
 	for _, name := range settingsNames {
 		fields[name] = name
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -66,7 +66,7 @@
 	h := &fakeSink{ended: make(chan attemptEnd, 100)}
 	h.clock.Store(int64(1000 * second))
 	d := &testBack{T: t, fakeSink: h, listener: l, conns: make(chan *net.TCPConn, 100), dials: make(chan chan struct{}, 100)}
-	set := Settings{MaxConnections: 10, MaxAnswerBytes: 1 << 20, IdleTimeout: 30 * second, ConnectTimeout: 20 * time.Second, LoadFields: NewFields([]string{"waiting"})}
+	set := Settings{MaxConnections: 10, MaxAnswerBytes: 1 << 20, IdleTimeout: 30 * second, ConnectTimeout: 20 * time.Second, LoadFields: NewLoadFields([]string{"waiting"})}
 	if heldDials {
 		set.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			up := make(chan struct{})
