--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -44,7 +44,7 @@
 		// All is back where it began.
 		for end := time.Now().Add(15 * time.Second); ; time.Sleep(time.Millisecond) {
 			ta, _ := in.shell.Tally()
-			open, _ := in.back.Open()
+			open, _ := in.back.ConnectionCounts()
 			if ta.Held == 0 && ta.Entries == 0 && ta.Out == 0 && open == 0 && in.front.Connections() == 0 {
 				break
 			}
@@ -88,7 +88,7 @@
 		time.Sleep(100 * time.Millisecond) // longer than they rest, shorter than they are kept
 		s.served(p, "look")
 	}
-	open, _ := s.in.back.Open()
+	open, _ := s.in.back.ConnectionCounts()
 	if ta := s.in.back.Tally(); target.count() != 65 || ta.Dialled != before || open > s.in.bounds.Lines {
 		t.Fatalf("%d requests, %d connections, %d dialled once all had rested", target.count(), open, ta.Dialled-before)
 	}
@@ -583,7 +583,7 @@
 		if ta.Entries != 0 || ta.Out != 0 {
 			t.Errorf("%+v", ta)
 		}
-		if open, _ := s.in.back.Open(); open > 10 {
+		if open, _ := s.in.back.ConnectionCounts(); open > 10 {
 			t.Errorf("%d connections to one target", open)
 		}
 		if n := s.in.front.Connections(); n > 64 {
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -293,8 +293,8 @@
 	b.goroutines.Wait()
 }
 
-// Open returns the number of connections and how many of them are idle.
-func (b *Back) Open() (open, idle int) {
+// ConnectionCounts returns the number of connections and how many of them are idle.
+func (b *Back) ConnectionCounts() (open, idle int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spares.Open()
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -91,7 +91,7 @@
 	t.Cleanup(func() {
 		d.back.Close()
 		l.Close()
-		if open, idle := d.back.Open(); open != 0 || idle != 0 || len(d.back.conns) != 0 {
+		if open, idle := d.back.ConnectionCounts(); open != 0 || idle != 0 || len(d.back.conns) != 0 {
 			t.Errorf("%d connections are still open after Close, %d idle", open, idle)
 		}
 		goleak.VerifyNone(t, before)
@@ -243,7 +243,7 @@
 	d.back.Recall(a)
 	io.WriteString(c, okAnswer("yes"))
 	d.expectOutcome(a, logic.OK)
-	if _, idle := d.back.Open(); idle != 1 {
+	if _, idle := d.back.ConnectionCounts(); idle != 1 {
 		t.Fatal("the connection was not kept")
 	}
 }
