--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -44,7 +44,7 @@
 	Fields         []Field
 	Body           []byte
 	Close          bool // the sender closes the connection after the message
-	ToEnd          bool // the body of the answer ends with the connection, as its length is not specified
+	UntilClose     bool // the body of the answer ends with the connection, as its length is not specified
 
 	bodyLength int64 // negative: chunked
 }
@@ -302,7 +302,7 @@
 
 // parseFraming determines the length of the body.
 func (m *Message) parseFraming(request bool) error {
-	m.Close, m.ToEnd, m.bodyLength, m.Body = false, false, 0, nil
+	m.Close, m.UntilClose, m.bodyLength, m.Body = false, false, 0, nil
 	lengths, codings := 0, 0
 	for i := range m.Fields {
 		switch f := &m.Fields[i]; {
@@ -332,7 +332,7 @@
 			return newError(502, "status %d with a body", m.Status)
 		}
 	case !request && lengths == 0:
-		m.Close, m.ToEnd = true, true
+		m.Close, m.UntilClose = true, true
 	}
 	return nil
 }
@@ -367,7 +367,7 @@
 
 // readBody reads the body that begins at an offset of the buffer, into the buffer.
 func (r *Reader) readBody(m *Message, offset int) error {
-	if m.ToEnd {
+	if m.UntilClose {
 		return r.readToEnd(m, offset)
 	}
 	if m.bodyLength >= 0 {
@@ -526,7 +526,7 @@
 
 // Body returns a reader of the body of the answer whose head was read last.
 func (r *Reader) Body(m *Message) io.Reader {
-	return &bodyStream{r: r, left: m.bodyLength, chunked: m.bodyLength < 0, toEnd: m.ToEnd}
+	return &bodyStream{r: r, left: m.bodyLength, chunked: m.bodyLength < 0, toEnd: m.UntilClose}
 }
 
 type bodyStream struct {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -124,7 +124,7 @@
 		text := "HTTP/1.1 200 OK\r\nServer-Load: queue=1\r\n\r\n" + body
 		for _, src := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
 			m := new(Message)
-			if err := NewReader(src).Answer(m); err != nil || string(m.Body) != body || !m.ToEnd || !m.Close {
+			if err := NewReader(src).Answer(m); err != nil || string(m.Body) != body || !m.UntilClose || !m.Close {
 				t.Fatalf("%d bytes: %v, %d read, close %v", n, err, len(m.Body), m.Close)
 			}
 		}
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -416,7 +416,7 @@
 	}
 	aborted := c.settleWrite()
 	b.mu.Lock()
-	if err == nil && m.ToEnd && c.dropped {
+	if err == nil && m.UntilClose && c.dropped {
 		err = io.ErrUnexpectedEOF // the end of the stream was caused by this side, not by the target
 	}
 	if protocolErr, malformed := err.(*http1.Error); malformed {
