--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -25,10 +25,10 @@
 // Error reports a message that violates the syntax or the bounds. Status is the status with which a server answers it.
 type Error struct {
 	Status int
-	What   string
+	Reason string
 }
 
-func (e *Error) Error() string { return e.What }
+func (e *Error) Error() string { return e.Reason }
 
 func newError(status int, format string, a ...any) error {
 	return &Error{status, fmt.Sprintf(format, a...)}
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -255,7 +255,7 @@
 		if err != nil {
 			var protocolErr *http1.Error
 			if errors.As(err, &protocolErr) {
-				c.reject(now, &rejectError{protocolErr.Status, protocolErr.What})
+				c.reject(now, &rejectError{protocolErr.Status, protocolErr.Reason})
 			}
 			return
 		}
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -421,7 +421,7 @@
 	}
 	if protocolErr, malformed := err.(*http1.Error); malformed {
 		b.tally.Spoilt++
-		b.trace("end", c, "spoilt:"+strings.ReplaceAll(protocolErr.What, " ", "-"))
+		b.trace("end", c, "spoilt:"+strings.ReplaceAll(protocolErr.Reason, " ", "-"))
 		c.fail(logic.Failed)
 		return false
 	} else if err != nil {
