--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -161,8 +161,8 @@
 	r.pos = 0
 }
 
-// Request reads the next request. An [*Error] reports an invalid request; any other error ended the connection.
-func (r *Reader) Request(m *Message) error {
+// ReadRequest reads the next request. An [*Error] reports an invalid request; any other error ended the connection.
+func (r *Reader) ReadRequest(m *Message) error {
 	r.discardMessage()
 	head, err := r.readHead()
 	if err != nil {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -12,7 +12,7 @@
 
 func readRequest(s string) (*Message, *Reader, error) {
 	r, m := NewReader(strings.NewReader(s)), new(Message)
-	return m, r, r.Request(m)
+	return m, r, r.ReadRequest(m)
 }
 
 func TestRequests(t *testing.T) {
@@ -170,7 +170,7 @@
 		r := NewReader(strings.NewReader("PUT /a HTTP/1.1\r\nHost: x\r\n" + body))
 		r.Grant = func(int) bool { return false }
 		var protocolErr *Error
-		if err := r.Request(new(Message)); !errors.As(err, &protocolErr) || protocolErr.Status != 503 || cap(r.buf) > 2*KeepSize {
+		if err := r.ReadRequest(new(Message)); !errors.As(err, &protocolErr) || protocolErr.Status != 503 || cap(r.buf) > 2*KeepSize {
 			t.Errorf("%.40q: %v, buffer of %d bytes", body, err, cap(r.buf))
 		}
 	}
@@ -186,13 +186,13 @@
 		io.WriteString(to, "GET /second HTTP/1.1\r\nHost: y\r\n\r\n")
 		to.Close()
 	}()
-	if err := r.Request(m); err != nil {
+	if err := r.ReadRequest(m); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.Wait(); err != nil || string(m.Target) != "/a" || string(m.Body) != body {
 		t.Fatal(err, string(m.Target))
 	}
-	if err := r.Request(m); err != nil || string(m.Target) != "/second" {
+	if err := r.ReadRequest(m); err != nil || string(m.Target) != "/second" {
 		t.Fatal(err, string(m.Target))
 	}
 	if err := r.Wait(); err != io.EOF {
@@ -267,7 +267,7 @@
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("PUT /a/b HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: x\r\n\r\n"), byte(1))
 	f.Add([]byte("PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nPUT / HTTP/1.1\r\nHost: x\r\n\r\n"), byte(2))
-	fuzzReader(f, (*Reader).Request)
+	fuzzReader(f, (*Reader).ReadRequest)
 }
 
 func FuzzAnswer(f *testing.F) {
@@ -280,7 +280,7 @@
 	b.ReportAllocs()
 	r, m := NewReader(&loopReader{b: one}), new(Message)
 	for b.Loop() {
-		if err := r.Request(m); err != nil {
+		if err := r.ReadRequest(m); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -250,7 +250,7 @@
 	r.Grant = c.reserveBody
 	var m http1.Message
 	for c.awaitRequest(r) {
-		err := r.Request(&m)
+		err := r.ReadRequest(&m)
 		now := f.handler.Now()
 		if err != nil {
 			var protocolErr *http1.Error
--- a/internal/platform/kill_test.go
+++ b/internal/platform/kill_test.go
@@ -42,7 +42,7 @@
 	time.Sleep(300 * time.Millisecond) // the rest is in the system's buffers
 	p.kill()
 	m := new(http1.Message)
-	if http1.NewReader(io.MultiReader(strings.NewReader(string(first)), conn)).Request(m) == nil {
+	if http1.NewReader(io.MultiReader(strings.NewReader(string(first)), conn)).ReadRequest(m) == nil {
 		t.Errorf("the target has the whole request, %d bytes, after its process was killed", len(m.Body))
 	}
 }
--- a/internal/platform/standin_test.go
+++ b/internal/platform/standin_test.go
@@ -74,7 +74,7 @@
 		s.mu.Unlock()
 	}()
 	r, m := http1.NewReader(c), new(http1.Message)
-	for r.Request(m) == nil {
+	for r.ReadRequest(m) == nil {
 		s.mu.Lock()
 		n := len(s.seen)
 		s.seen = append(s.seen, string(m.Get("request-id")))
@@ -139,7 +139,7 @@
 
 func (d *standDiscovery) serve(c net.Conn) {
 	r, m := http1.NewReader(c), new(http1.Message)
-	if r.Request(m) != nil {
+	if r.ReadRequest(m) != nil {
 		c.Close()
 		return
 	}
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -139,7 +139,7 @@
 func (d *testBack) readRequest(c net.Conn) *http1.Message {
 	d.Helper()
 	m := new(http1.Message)
-	if err := http1.NewReader(c).Request(m); err != nil {
+	if err := http1.NewReader(c).ReadRequest(m); err != nil {
 		d.Fatal(err)
 	}
 	return m
@@ -433,7 +433,7 @@
 			go func() {
 				defer c.Close()
 				r, m := http1.NewReader(c), new(http1.Message)
-				for n := 0; r.Request(m) == nil; n++ {
+				for n := 0; r.ReadRequest(m) == nil; n++ {
 					switch n % 5 {
 					case 3:
 						io.WriteString(c, "HTTP/1.1 200 OK\r\nConte") // hangs
@@ -513,7 +513,7 @@
 	}
 	d.back.Drop(a)
 	d.expectOutcome(a, logic.Reset)
-	if m := new(http1.Message); http1.NewReader(c).Request(m) == nil {
+	if m := new(http1.Message); http1.NewReader(c).ReadRequest(m) == nil {
 		t.Errorf("the target received the whole request, %d bytes, after it was given up", len(m.Body))
 	}
 }
