--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -174,8 +174,8 @@
 	return r.readBody(m, len(head))
 }
 
-// Answer reads the next answer with its body. It skips 1xx answers.
-func (r *Reader) Answer(m *Message) error {
+// ReadAnswer reads the next answer with its body. It skips 1xx answers.
+func (r *Reader) ReadAnswer(m *Message) error {
 	if err := r.AnswerHead(m); err != nil {
 		return err
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -89,10 +89,10 @@
 func TestAnswers(t *testing.T) {
 	r := NewReader(strings.NewReader("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 503\r\nContent-Length: 0\r\n\r\n"))
 	m := new(Message)
-	if err := r.Answer(m); err != nil || m.Status != 200 || string(m.Body) != "ok" {
+	if err := r.ReadAnswer(m); err != nil || m.Status != 200 || string(m.Body) != "ok" {
 		t.Fatal(err, m.Status, string(m.Body))
 	}
-	if err := r.Answer(m); err != nil || m.Status != 503 || len(m.Body) != 0 {
+	if err := r.ReadAnswer(m); err != nil || m.Status != 503 || len(m.Body) != 0 {
 		t.Fatal(err, m.Status)
 	}
 	for name, in := range map[string]string{
@@ -110,7 +110,7 @@
 		"204 with a body":  "HTTP/1.1 204 None\r\nContent-Length: 3\r\n\r\nabc",
 	} {
 		var protocolErr *Error
-		if err := NewReader(strings.NewReader(in)).Answer(m); !errors.As(err, &protocolErr) {
+		if err := NewReader(strings.NewReader(in)).ReadAnswer(m); !errors.As(err, &protocolErr) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -124,17 +124,17 @@
 		text := "HTTP/1.1 200 OK\r\nServer-Load: queue=1\r\n\r\n" + body
 		for _, src := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
 			m := new(Message)
-			if err := NewReader(src).Answer(m); err != nil || string(m.Body) != body || !m.UntilClose || !m.Close {
+			if err := NewReader(src).ReadAnswer(m); err != nil || string(m.Body) != body || !m.UntilClose || !m.Close {
 				t.Fatalf("%d bytes: %v, %d read, close %v", n, err, len(m.Body), m.Close)
 			}
 		}
 		broken := errors.New("reset")
-		if err := NewReader(io.MultiReader(strings.NewReader(text), iotest.ErrReader(broken))).Answer(new(Message)); !errors.Is(err, broken) {
+		if err := NewReader(io.MultiReader(strings.NewReader(text), iotest.ErrReader(broken))).ReadAnswer(new(Message)); !errors.Is(err, broken) {
 			t.Errorf("%d bytes and a reset: %v", n, err)
 		}
 		r := NewReader(strings.NewReader(text))
 		r.Grant = func(int) bool { return false }
-		if err := r.Answer(new(Message)); (err != nil) != (n > KeepSize) {
+		if err := r.ReadAnswer(new(Message)); (err != nil) != (n > KeepSize) {
 			t.Errorf("%d bytes without a grant: %v", n, err)
 		}
 	}
@@ -147,7 +147,7 @@
 	r, m := NewReader(strings.NewReader(text+text)), new(Message)
 	grants := 0
 	r.Grant = func(n int) bool { grants++; return n == len(long) && grants == 1 }
-	if err := r.Answer(m); err != nil || len(m.Body) != len(long) {
+	if err := r.ReadAnswer(m); err != nil || len(m.Body) != len(long) {
 		t.Fatal(err, len(m.Body))
 	}
 	body := m.Body
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	var protocolErr *Error
-	if err := r.Answer(m); !errors.As(err, &protocolErr) || protocolErr.Status != 503 {
+	if err := r.ReadAnswer(m); !errors.As(err, &protocolErr) || protocolErr.Status != 503 {
 		t.Fatal("the answer was read without a grant:", err)
 	}
 	if string(body) != long {
@@ -272,7 +272,7 @@
 
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), byte(3))
-	fuzzReader(f, (*Reader).Answer)
+	fuzzReader(f, (*Reader).ReadAnswer)
 }
 
 func BenchmarkRequest(b *testing.B) {
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -42,7 +42,7 @@
 		wait.Go(func() {
 			for range b.N / clients {
 				io.WriteString(p.c, text)
-				if err := p.r.Answer(&p.m); err != nil {
+				if err := p.r.ReadAnswer(&p.m); err != nil {
 					b.Error(err)
 					return
 				}
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -103,7 +103,7 @@
 func (u *testClient) expectAnswer(status int) (string, *http1.Message) {
 	u.t.Helper()
 	m := new(http1.Message)
-	if err := u.r.Answer(m); err != nil || m.Status != status {
+	if err := u.r.ReadAnswer(m); err != nil || m.Status != status {
 		u.t.Fatalf("status %d, %v; want %d", m.Status, err, status)
 	}
 	return string(m.Body), m
@@ -272,7 +272,7 @@
 			u := b.connect()
 			u.send(text)
 			m := new(http1.Message)
-			if err := u.r.Answer(m); err != nil || m.Status < 400 || m.Status > 499 {
+			if err := u.r.ReadAnswer(m); err != nil || m.Status < 400 || m.Status > 499 {
 				t.Fatalf("status %d, %v", m.Status, err)
 			}
 			u.expectEOF()
@@ -459,7 +459,7 @@
 		again := &testClient{c.(*net.TCPConn), t, http1.NewReader(c)}
 		defer c.Close()
 		if _, err := io.WriteString(c, putRequest("crosses1", "x")); err == nil {
-			if m := new(http1.Message); again.r.Answer(m) == nil && m.Status != 503 {
+			if m := new(http1.Message); again.r.ReadAnswer(m) == nil && m.Status != 503 {
 				t.Errorf("status %d", m.Status)
 			}
 		}
@@ -496,7 +496,7 @@
 						return
 					}
 					m := new(http1.Message)
-					if err := u.r.Answer(m); err != nil || string(m.Body) != "for "+id {
+					if err := u.r.ReadAnswer(m); err != nil || string(m.Body) != "for "+id {
 						t.Errorf("%s: %v %q", id, err, m.Body)
 						return
 					}
--- a/internal/platform/limit_fleet_test.go
+++ b/internal/platform/limit_fleet_test.go
@@ -146,5 +146,5 @@
 		time.Sleep(time.Duration(patienceMS/2) * time.Millisecond)
 		return
 	}
-	http1.NewReader(c).Answer(new(http1.Message))
+	http1.NewReader(c).ReadAnswer(new(http1.Message))
 }
--- a/internal/platform/standin_test.go
+++ b/internal/platform/standin_test.go
@@ -266,7 +266,7 @@
 }
 
 func (p *peer) answer() (int, string) {
-	if err := p.r.Answer(&p.m); err != nil {
+	if err := p.r.ReadAnswer(&p.m); err != nil {
 		return 0, err.Error()
 	}
 	return p.m.Status, string(p.m.Body)
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -412,7 +412,7 @@
 	}
 	b.mu.Unlock()
 	if err == nil {
-		err = r.Answer(m)
+		err = r.ReadAnswer(m)
 	}
 	aborted := c.settleWrite()
 	b.mu.Lock()
