--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -176,14 +176,14 @@
 
 // ReadAnswer reads the next answer with its body. It skips 1xx answers.
 func (r *Reader) ReadAnswer(m *Message) error {
-	if err := r.AnswerHead(m); err != nil {
+	if err := r.ReadAnswerHead(m); err != nil {
 		return err
 	}
 	return r.readBody(m, r.pos)
 }
 
-// AnswerHead reads the head of the next answer. The body is read with [Reader.Body].
-func (r *Reader) AnswerHead(m *Message) error {
+// ReadAnswerHead reads the head of the next answer. The body is read with [Reader.Body].
+func (r *Reader) ReadAnswerHead(m *Message) error {
 	for i := 0; ; i++ {
 		r.discardMessage()
 		head, err := r.readHead()
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -202,7 +202,7 @@
 
 func TestStream(t *testing.T) {
 	r, m := NewReader(iotest.OneByteReader(strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nab\nc\r\n1\r\n\n\r\n0\r\n\r\n"))), new(Message)
-	if err := r.AnswerHead(m); err != nil {
+	if err := r.ReadAnswerHead(m); err != nil {
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(r.Body(m)); err != nil || string(b) != "ab\nc\n" {
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -130,7 +130,7 @@
 	}
 	r := http1.NewReader(conn)
 	var m http1.Message
-	if err := r.AnswerHead(&m); err != nil {
+	if err := r.ReadAnswerHead(&m); err != nil {
 		return err
 	}
 	if m.Status != 200 {
