--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -182,7 +182,7 @@
 	return r.readBody(m, r.pos)
 }
 
-// ReadAnswerHead reads the head of the next answer. The body is read with [Reader.Body].
+// ReadAnswerHead reads the head of the next answer. The body is read with [Reader.BodyReader].
 func (r *Reader) ReadAnswerHead(m *Message) error {
 	for i := 0; ; i++ {
 		r.discardMessage()
@@ -524,8 +524,8 @@
 	return -1
 }
 
-// Body returns a reader of the body of the answer whose head was read last.
-func (r *Reader) Body(m *Message) io.Reader {
+// BodyReader returns a reader of the body of the answer whose head was read last.
+func (r *Reader) BodyReader(m *Message) io.Reader {
 	return &bodyStream{r: r, left: m.bodyLength, chunked: m.bodyLength < 0, toEnd: m.UntilClose}
 }
 
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -205,7 +205,7 @@
 	if err := r.ReadAnswerHead(m); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := io.ReadAll(r.Body(m)); err != nil || string(b) != "ab\nc\n" {
+	if b, err := io.ReadAll(r.BodyReader(m)); err != nil || string(b) != "ab\nc\n" {
 		t.Fatalf("%q %v", b, err)
 	}
 }
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -137,7 +137,7 @@
 		return fmt.Errorf("status %d", m.Status)
 	}
 	conn.SetDeadline(time.Now().Add(w.silence(begun, w.sink.Now())))
-	lists := bufio.NewScanner(r.Body(&m))
+	lists := bufio.NewScanner(r.BodyReader(&m))
 	lists.Buffer(make([]byte, 0, 4<<10), longest)
 	lists.Split(new(value).split)
 	for first := true; lists.Scan(); {
