--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -92,9 +92,9 @@
 
 // Reader reads messages from one connection.
 type Reader struct {
-	// Grant is called before a body of more than KeepSize bytes is read, and reports whether n bytes of memory may be
+	// ReserveBody is called before a body of more than KeepSize bytes is read, and reports whether n bytes of memory may be
 	// used; nil: they always may.
-	Grant func(n int) bool
+	ReserveBody func(n int) bool
 
 	src io.Reader
 	buf []byte // data that was read; the current message begins at 0
@@ -450,7 +450,7 @@
 
 // reserve asks Grant for the memory of a body that is longer than KeepSize.
 func (r *Reader) reserve(n int) error {
-	if n > KeepSize && r.Grant != nil && !r.Grant(n) {
+	if n > KeepSize && r.ReserveBody != nil && !r.ReserveBody(n) {
 		return newError(503, "no room for a body of %d bytes", n)
 	}
 	return nil
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -247,7 +247,7 @@
 	defer c.close()
 	f := c.front
 	r := http1.NewReader(c.conn)
-	r.Grant = c.reserveBody
+	r.ReserveBody = c.reserveBody
 	var m http1.Message
 	for c.awaitRequest(r) {
 		err := r.ReadRequest(&m)
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -344,7 +344,7 @@
 	b.trace("send", c, "new")
 	b.mu.Unlock()
 	r := http1.NewReader(conn)
-	r.Grant = c.reserveAnswer
+	r.ReserveBody = c.reserveAnswer
 	var m http1.Message
 	for c.readAnswer(r, &m) {
 	}
