--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -17,9 +17,9 @@
 	// maxInterim is the number of 1xx answers that are skipped before a final answer.
 	maxInterim  = 8
 	initialSize = 1 << 10 // of a reader's buffer, in bytes
-	// KeepSize is the largest buffer that a reader uses again. A larger one is replaced after its message, so the slices
+	// MaxReusedBuffer is the largest buffer that a reader uses again. A larger one is replaced after its message, so the slices
 	// of a longer message remain valid.
-	KeepSize = 8 << 10
+	MaxReusedBuffer = 8 << 10
 )
 
 // Error reports a message that violates the syntax or the bounds. Status is the status with which a server answers it.
@@ -111,7 +111,7 @@
 // remains valid.
 func (r *Reader) Wait() error {
 	for r.Buffered() == 0 {
-		if cap(r.buf)-len(r.buf) < 128 || cap(r.buf) > KeepSize {
+		if cap(r.buf)-len(r.buf) < 128 || cap(r.buf) > MaxReusedBuffer {
 			// The slices of the message keep the old array, and a silent peer occupies little memory.
 			r.buf, r.pos = make([]byte, 0, initialSize), 0
 		}
@@ -153,7 +153,7 @@
 	if r.pos == 0 {
 		return
 	}
-	if cap(r.buf) > KeepSize && len(rest) <= initialSize {
+	if cap(r.buf) > MaxReusedBuffer && len(rest) <= initialSize {
 		r.buf = append(make([]byte, 0, initialSize), rest...)
 	} else {
 		r.buf = r.buf[:copy(r.buf, rest)]
@@ -378,7 +378,7 @@
 			return err
 		}
 		end := offset + int(m.bodyLength)
-		if m.bodyLength > KeepSize && cap(r.buf) < end {
+		if m.bodyLength > MaxReusedBuffer && cap(r.buf) < end {
 			r.buf = append(make([]byte, 0, end), r.buf...)
 		}
 		for len(r.buf) < end {
@@ -404,7 +404,7 @@
 		if end-offset+n > MaxBody {
 			return newError(413, "the body is longer than %d bytes", MaxBody)
 		}
-		if end-offset <= KeepSize && end-offset+n > KeepSize {
+		if end-offset <= MaxReusedBuffer && end-offset+n > MaxReusedBuffer {
 			if err := r.reserve(MaxBody); err != nil {
 				return err
 			}
@@ -433,7 +433,7 @@
 		if n > MaxBody {
 			return newError(413, "the body is longer than %d bytes", MaxBody)
 		}
-		if n > KeepSize && !granted {
+		if n > MaxReusedBuffer && !granted {
 			if err := r.reserve(MaxBody); err != nil {
 				return err
 			}
@@ -450,7 +450,7 @@
 
 // reserve asks Grant for the memory of a body that is longer than KeepSize.
 func (r *Reader) reserve(n int) error {
-	if n > KeepSize && r.ReserveBody != nil && !r.ReserveBody(n) {
+	if n > MaxReusedBuffer && r.ReserveBody != nil && !r.ReserveBody(n) {
 		return newError(503, "no room for a body of %d bytes", n)
 	}
 	return nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -119,7 +119,7 @@
 // An answer of unspecified length ends only when its connection is closed; a reset is an error. The operators require
 // that such an answer is read, which overrides an older rule by which it was invalid.
 func TestAnswerToTheEnd(t *testing.T) {
-	for _, n := range []int{0, 1, KeepSize, KeepSize + 1, MaxBody} {
+	for _, n := range []int{0, 1, MaxReusedBuffer, MaxReusedBuffer + 1, MaxBody} {
 		body := strings.Repeat("x", n)
 		text := "HTTP/1.1 200 OK\r\nServer-Load: queue=1\r\n\r\n" + body
 		for _, src := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
@@ -134,7 +134,7 @@
 		}
 		r := NewReader(strings.NewReader(text))
 		r.ReserveBody = func(int) bool { return false }
-		if err := r.ReadAnswer(new(Message)); (err != nil) != (n > KeepSize) {
+		if err := r.ReadAnswer(new(Message)); (err != nil) != (n > MaxReusedBuffer) {
 			t.Errorf("%d bytes without a grant: %v", n, err)
 		}
 	}
@@ -166,11 +166,11 @@
 // A long body, with a length or chunked, is not read before memory for it is granted. Otherwise many readers together
 // could use too much memory.
 func TestNoRoom(t *testing.T) {
-	for _, body := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", KeepSize+1), "Transfer-Encoding: chunked\r\n\r\n1000\r\n" + strings.Repeat("x", 0x1000) + "\r\n2000\r\n"} {
+	for _, body := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxReusedBuffer+1), "Transfer-Encoding: chunked\r\n\r\n1000\r\n" + strings.Repeat("x", 0x1000) + "\r\n2000\r\n"} {
 		r := NewReader(strings.NewReader("PUT /a HTTP/1.1\r\nHost: x\r\n" + body))
 		r.ReserveBody = func(int) bool { return false }
 		var protocolErr *Error
-		if err := r.ReadRequest(new(Message)); !errors.As(err, &protocolErr) || protocolErr.Status != 503 || cap(r.buf) > 2*KeepSize {
+		if err := r.ReadRequest(new(Message)); !errors.As(err, &protocolErr) || protocolErr.Status != 503 || cap(r.buf) > 2*MaxReusedBuffer {
 			t.Errorf("%.40q: %v, buffer of %d bytes", body, err, cap(r.buf))
 		}
 	}
