--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -308,7 +308,7 @@
 		switch f := &m.Fields[i]; {
 		case equalFold(f.Name, "content-length"):
 			lengths++
-			if m.bodyLength = Digits(f.Value); m.bodyLength < 0 {
+			if m.bodyLength = ParseDigits(f.Value); m.bodyLength < 0 {
 				return newError(400, "Content-Length cannot be read")
 			}
 		case equalFold(f.Name, "transfer-encoding"):
@@ -337,9 +337,9 @@
 	return nil
 }
 
-// Digits parses a whole number that consists of digits only. It returns -1 if b is anything else or has more than 18
+// ParseDigits parses a whole number that consists of digits only. It returns -1 if b is anything else or has more than 18
 // digits.
-func Digits(b []byte) int64 {
+func ParseDigits(b []byte) int64 {
 	if len(b) == 0 || len(b) > 18 {
 		return -1
 	}
--- a/internal/platform/target/message.go
+++ b/internal/platform/target/message.go
@@ -87,7 +87,7 @@
 
 // parseCount parses a whole number below 65535.
 func parseCount(v []byte) (int, bool) {
-	if n := http1.Digits(v); n >= 0 && n < math.MaxUint16 {
+	if n := http1.ParseDigits(v); n >= 0 && n < math.MaxUint16 {
 		return int(n), true
 	}
 	return 0, false
