--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -121,7 +121,7 @@
 		// Detects unexpected data and a close by the target, also if the reader has read the data already. Such data
 		// would be taken for the answer to this attempt and be served to the wrong client. Nothing was written yet, so
 		// another connection can be used.
-		if c.unexpectedInput || c.conn.Quiet() != nil {
+		if c.unexpectedInput || c.conn.CheckIdle() != nil {
 			b.tally.Surplus++
 			b.close(c)
 			continue
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -29,7 +29,7 @@
 }
 
 // Guard makes each Read hold mu while it reads from the socket, and call onRead before it releases mu. Code that holds
-// mu can therefore tell whether data has arrived: [Conn.Quiet] reports unread data, and onRead has recorded data that was
+// mu can therefore tell whether data has arrived: [Conn.CheckIdle] reports unread data, and onRead has recorded data that was
 // read. Guard must be called before the first Read.
 func (s *Conn) Guard(mu sync.Locker, onRead func()) {
 	s.readMutex, s.onRead = mu, onRead
@@ -112,12 +112,12 @@
 
 // Ended reports whether the peer has closed the connection and all its data was read, or the connection is broken.
 func (s *Conn) Ended() bool {
-	err := s.Quiet()
+	err := s.CheckIdle()
 	return err != nil && err != errUnreadData
 }
 
 // Waiting reports whether unread data from the peer is available.
-func (s *Conn) Waiting() bool { return s.Quiet() == errUnreadData }
+func (s *Conn) Waiting() bool { return s.CheckIdle() == errUnreadData }
 
 // TryWrite writes the bytes that the socket takes without blocking. A short write is not an error.
 func (s *Conn) TryWrite(b []byte) (int, error) {
@@ -130,8 +130,8 @@
 	return s.written, err
 }
 
-// Quiet returns an error if there is unread data from the peer, or the peer has closed the connection, or it is broken.
-func (s *Conn) Quiet() error {
+// CheckIdle returns an error if there is unread data from the peer, or the peer has closed the connection, or it is broken.
+func (s *Conn) CheckIdle() error {
 	s.opErr = nil
 	if err := s.raw.Control(func(fd uintptr) { s.peekFunc(fd) }); err != nil {
 		return err
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -74,11 +74,11 @@
 // Quiet notices unread data and a close by the peer, and does not block.
 func TestQuiet(t *testing.T) {
 	c, far := pair(t)
-	if err := c.Quiet(); err != nil {
+	if err := c.CheckIdle(); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(far, "x")
-	for end := time.Now().Add(10 * time.Second); c.Quiet() == nil; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); c.CheckIdle() == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("unread data was not noticed")
 		}
@@ -86,7 +86,7 @@
 	b := make([]byte, 1)
 	c.Read(b)
 	far.Close()
-	for end := time.Now().Add(10 * time.Second); c.Quiet() != io.EOF; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); c.CheckIdle() != io.EOF; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the close was not noticed")
 		}
