--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -157,7 +157,7 @@
 			c.conn.TryWrite(appendError(nil, &rejectError{503, "ending"}))
 			c.linger(now)
 		case seats.Idle:
-			if !c.conn.Waiting() {
+			if !c.conn.HasUnread() {
 				c.linger(now)
 			}
 		}
@@ -198,7 +198,7 @@
 			c.conn.TryWrite(appendError(nil, &rejectError{408, "the request does not end"}))
 			c.linger(now)
 		case seats.Idle:
-			if c.conn.Waiting() {
+			if c.conn.HasUnread() {
 				f.seats.Move(now, s, seats.Resuming) // a request has just arrived
 			} else {
 				c.linger(now)
@@ -314,7 +314,7 @@
 			timer.Stop()
 		}
 		f.mu.Lock()
-		if r.Buffered() > 0 || c.conn.Waiting() {
+		if r.Buffered() > 0 || c.conn.HasUnread() {
 			c.readDelay = f.handler.Now() - start // the request may have been waiting since the pause began
 		}
 		f.mu.Unlock()
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -306,7 +306,7 @@
 			c := b.onlyClient()
 			b.front.mu.Lock()
 			u.send(putRequest("next", "x"))
-			if met = c.conn.Waiting(); met {
+			if met = c.conn.HasUnread(); met {
 				b.advance(11 * second)
 				b.front.closeOverdue(b.Now())
 			}
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -367,7 +367,7 @@
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		d.back.mu.Lock()
 		c, ok := a.Conn.(*connection)
-		read := ok && c.conn != nil && !c.conn.Waiting()
+		read := ok && c.conn != nil && !c.conn.HasUnread()
 		d.back.mu.Unlock()
 		if read {
 			return
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -116,8 +116,8 @@
 	return err != nil && err != errUnreadData
 }
 
-// Waiting reports whether unread data from the peer is available.
-func (s *Conn) Waiting() bool { return s.CheckIdle() == errUnreadData }
+// HasUnread reports whether unread data from the peer is available.
+func (s *Conn) HasUnread() bool { return s.CheckIdle() == errUnreadData }
 
 // TryWrite writes the bytes that the socket takes without blocking. A short write is not an error.
 func (s *Conn) TryWrite(b []byte) (int, error) {
