--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -347,7 +347,7 @@
 	targetHash := maphash.Bytes(f.hashSeed, c.request.Target)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.conn.Ended() {
+	if c.conn.PeerClosed() {
 		f.tally.Left++
 		return nil, true
 	}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -110,8 +110,8 @@
 
 var errUnreadData = errors.New("unread data from the peer")
 
-// Ended reports whether the peer has closed the connection and all its data was read, or the connection is broken.
-func (s *Conn) Ended() bool {
+// PeerClosed reports whether the peer has closed the connection and all its data was read, or the connection is broken.
+func (s *Conn) PeerClosed() bool {
 	err := s.CheckIdle()
 	return err != nil && err != errUnreadData
 }
