--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -103,7 +103,7 @@
 		f.mu.Lock()
 		seat, evicted := f.seats.Take(now, c)
 		if evicted != nil {
-			evicted.Owner.(*client).conn.Shut()
+			evicted.Owner.(*client).conn.Shutdown()
 		}
 		if c.seat = seat; seat == nil || f.closed {
 			if seat != nil {
@@ -172,7 +172,7 @@
 	f.closed = true
 	for _, s := range f.seats.All() {
 		f.seats.Leave(s)
-		s.Owner.(*client).conn.Shut()
+		s.Owner.(*client).conn.Shutdown()
 	}
 	f.mu.Unlock()
 	f.goroutines.Wait()
@@ -205,7 +205,7 @@
 			}
 		default:
 			f.seats.Leave(s)
-			c.conn.Shut()
+			c.conn.Shutdown()
 		}
 	}
 }
@@ -222,7 +222,7 @@
 	}
 }
 
-// client is one connection. Only its own goroutine closes it. Code that holds the lock calls [sock.Conn.Shut] instead,
+// client is one connection. Only its own goroutine closes it. Code that holds the lock calls [sock.Conn.Shutdown] instead,
 // as Close waits for the reader, which may be waiting for the lock.
 type client struct {
 	front   *Front
@@ -495,7 +495,7 @@
 	switch {
 	case c.disconnected:
 		c.front.seats.Leave(c.seat)
-		c.conn.Shut()
+		c.conn.Shutdown()
 	case closeAfter:
 		c.linger(now)
 	default:
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -205,7 +205,7 @@
 	}
 	c.dropped, c.recalled = true, c.recalled || onlyUnsent
 	if c.conn != nil {
-		c.conn.Shut() // the reader reports the outcome
+		c.conn.Shutdown() // the reader reports the outcome
 	}
 	c.cancelDial()
 }
@@ -258,7 +258,7 @@
 	}
 	if c.conn != nil {
 		c.conn.DropUnsent(c.state != idle) // an idle one has no unsent data and is closed normally
-		c.conn.Shut()                      // the reader closes it
+		c.conn.Shutdown()                  // the reader closes it
 	}
 	c.state = closed
 	c.cancelDial()
@@ -285,7 +285,7 @@
 		if c.state == idle || c.state == reported {
 			b.close(c)
 		} else if c.dropped = true; c.conn != nil {
-			c.conn.Shut()
+			c.conn.Shutdown()
 		}
 		c.cancelDial()
 	}
@@ -364,7 +364,7 @@
 	case <-flushed:
 		return false
 	default:
-		c.conn.Shut()
+		c.conn.Shutdown()
 		<-flushed
 		return true
 	}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -139,9 +139,9 @@
 	return s.opErr
 }
 
-// Shut shuts the connection down in both directions without blocking, which ends reads and writes on it. Its reader
+// Shutdown shuts the connection down in both directions without blocking, which ends reads and writes on it. Its reader
 // then closes it. Code that holds the mutex of [Conn.Guard] must not call Close, which waits for the reader.
-func (s *Conn) Shut() {
+func (s *Conn) Shutdown() {
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -62,7 +62,7 @@
 	}()
 	io.WriteString(far, "x")
 	time.Sleep(50 * time.Millisecond) // by then the reader is likely to wait for the guard
-	failIfSlow(t, "Shut blocks on the reader", c.Shut)
+	failIfSlow(t, "Shut blocks on the reader", c.Shutdown)
 	mu.Unlock()
 	failIfSlow(t, "the reader does not return", func() {
 		if err := <-read; err != io.EOF {
