--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -257,8 +257,8 @@
 		b.spares.Gone(&c.spare)
 	}
 	if c.conn != nil {
-		c.conn.DropUnsent(c.state != idle) // an idle one has no unsent data and is closed normally
-		c.conn.Shutdown()                  // the reader closes it
+		c.conn.SetDiscardUnsent(c.state != idle) // an idle one has no unsent data and is closed normally
+		c.conn.Shutdown()                        // the reader closes it
 	}
 	c.state = closed
 	c.cancelDial()
@@ -337,7 +337,7 @@
 	}
 	defer conn.Close()
 	// Data of an attempt must not reach the target after the attempt was given up or this process was killed.
-	conn.DropUnsent(true)
+	conn.SetDiscardUnsent(true)
 	conn.Guard(&b.mu, func() { c.unexpectedInput = c.unexpectedInput || c.state != busy })
 	c.conn, c.state = conn, busy
 	c.send(now)
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -145,9 +145,9 @@
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
-// DropUnsent sets whether data that the peer has not received yet is discarded when the connection is closed, also by
+// SetDiscardUnsent sets whether data that the peer has not received yet is discarded when the connection is closed, also by
 // the end of the process. If so, the connection is reset. By default the system goes on sending the data.
-func (s *Conn) DropUnsent(drop bool) {
+func (s *Conn) SetDiscardUnsent(drop bool) {
 	seconds := -1
 	if drop {
 		seconds = 0
