--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -98,7 +98,7 @@
 		c := &client{front: f, conn: conn}
 		// Bytes are read from the socket only under the lock, so that code that closes a connection knows whether any
 		// were read.
-		conn.Guard(&f.mu, c.noteRead)
+		conn.GuardReads(&f.mu, c.noteRead)
 		now := f.handler.Now()
 		f.mu.Lock()
 		seat, evicted := f.seats.Take(now, c)
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -338,7 +338,7 @@
 	defer conn.Close()
 	// Data of an attempt must not reach the target after the attempt was given up or this process was killed.
 	conn.SetDiscardUnsent(true)
-	conn.Guard(&b.mu, func() { c.unexpectedInput = c.unexpectedInput || c.state != busy })
+	conn.GuardReads(&b.mu, func() { c.unexpectedInput = c.unexpectedInput || c.state != busy })
 	c.conn, c.state = conn, busy
 	c.send(now)
 	b.trace("send", c, "new")
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -28,10 +28,10 @@
 	readFunc  func(fd uintptr) bool
 }
 
-// Guard makes each Read hold mu while it reads from the socket, and call onRead before it releases mu. Code that holds
+// GuardReads makes each Read hold mu while it reads from the socket, and call onRead before it releases mu. Code that holds
 // mu can therefore tell whether data has arrived: [Conn.CheckIdle] reports unread data, and onRead has recorded data that was
-// read. Guard must be called before the first Read.
-func (s *Conn) Guard(mu sync.Locker, onRead func()) {
+// read. GuardReads must be called before the first Read.
+func (s *Conn) GuardReads(mu sync.Locker, onRead func()) {
 	s.readMutex, s.onRead = mu, onRead
 	s.readFunc = func(fd uintptr) bool {
 		s.readMutex.Lock()
@@ -140,7 +140,7 @@
 }
 
 // Shutdown shuts the connection down in both directions without blocking, which ends reads and writes on it. Its reader
-// then closes it. Code that holds the mutex of [Conn.Guard] must not call Close, which waits for the reader.
+// then closes it. Code that holds the mutex of [Conn.GuardReads] must not call Close, which waits for the reader.
 func (s *Conn) Shutdown() {
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -47,7 +47,7 @@
 func TestShutUnderTheGuard(t *testing.T) {
 	c, far := pair(t)
 	var mu sync.Mutex
-	c.Guard(&mu, func() {})
+	c.GuardReads(&mu, func() {})
 	read := make(chan error, 1)
 	mu.Lock()
 	go func() {
