--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -17,8 +17,8 @@
 	// maxInterim is the number of 1xx answers that are skipped before a final answer.
 	maxInterim  = 8
 	initialSize = 1 << 10 // of a reader's buffer, in bytes
-	// MaxReusedBuffer is the largest buffer that a reader uses again. A larger one is replaced after its message, so the slices
-	// of a longer message remain valid.
+	// MaxReusedBuffer is the largest buffer that a reader uses again. A larger one is replaced after its message, so the
+	// slices of a longer message remain valid.
 	MaxReusedBuffer = 8 << 10
 )
 
@@ -92,8 +92,8 @@
 
 // Reader reads messages from one connection.
 type Reader struct {
-	// ReserveBody is called before a body of more than KeepSize bytes is read, and reports whether n bytes of memory may be
-	// used; nil: they always may.
+	// ReserveBody is called before a body of more than MaxReusedBuffer bytes is read, and reports whether n bytes of
+	// memory may be used; nil: they always may.
 	ReserveBody func(n int) bool
 
 	src io.Reader
@@ -337,8 +337,8 @@
 	return nil
 }
 
-// ParseDigits parses a whole number that consists of digits only. It returns -1 if b is anything else or has more than 18
-// digits.
+// ParseDigits parses a whole number that consists of digits only. It returns -1 if b is anything else or has more than
+// 18 digits.
 func ParseDigits(b []byte) int64 {
 	if len(b) == 0 || len(b) > 18 {
 		return -1
@@ -448,7 +448,7 @@
 	}
 }
 
-// reserve asks Grant for the memory of a body that is longer than KeepSize.
+// reserve asks ReserveBody for the memory of a body that is longer than MaxReusedBuffer.
 func (r *Reader) reserve(n int) error {
 	if n > MaxReusedBuffer && r.ReserveBody != nil && !r.ReserveBody(n) {
 		return newError(503, "no room for a body of %d bytes", n)
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -132,7 +132,8 @@
 	f.log.Info("told to end", zap.Int("connections", connections))
 }
 
-// Drained reports whether the front may be closed after Drain. Once it has reported true, no further requests are accepted.
+// Drained reports whether the front may be closed after Drain. Once it has reported true, no further requests are
+// accepted.
 func (f *Front) Drained() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -222,8 +223,8 @@
 	}
 }
 
-// client is one connection. Only its own goroutine closes it. Code that holds the lock calls [sock.Conn.Shutdown] instead,
-// as Close waits for the reader, which may be waiting for the lock.
+// client is one connection. Only its own goroutine closes it. Code that holds the lock calls [sock.Conn.Shutdown]
+// instead, as Close waits for the reader, which may be waiting for the lock.
 type client struct {
 	front   *Front
 	conn    *sock.Conn
@@ -236,7 +237,7 @@
 	targetHash       uint64
 	pause            logic.Micros
 	readDelay        logic.Micros // time for which the current request waited to be read
-	closeAfterAnswer bool         // the client asked for it, or sent data behind its request
+	closeAfterAnswer bool         // the client asked for it, or sent data after its request
 	disconnected     bool         // the client has closed the connection, or it broke
 	outBuf           []byte
 	flushed          chan struct{} // closed once the pending rest of an answer was written; nil: none
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -336,7 +336,7 @@
 			b := newTestFront(t)
 			u, _ := b.overdueClient()
 			b.front.mu.Lock()
-			b.front.closing = true // as if Over had reported true
+			b.front.closing = true // as if Drained had reported true
 			u.send(putRequest("9", "x"))
 			closed := make(chan struct{})
 			go func() { b.front.Close(); close(closed) }() // waits for the lock, as the reader does
@@ -430,7 +430,7 @@
 		t.Fatal("the connection is closed too early")
 	}
 	if b.front.Drained() {
-		t.Fatal("Over reports true with a request held")
+		t.Fatal("Drained reports true with a request held")
 	}
 	b.advance(by - b.Now() - 10_000) // shortly before
 	b.answerOK(held, "held")
@@ -443,11 +443,11 @@
 	b.waitUntil("the request has begun to arrive", func() bool { return b.front.seats.Busy() == 1 })
 	b.advance(20_000)
 	if b.front.Drained() {
-		t.Fatal("Over reports true in the middle of a request")
+		t.Fatal("Drained reports true in the middle of a request")
 	}
 	b.advance(100_000)
 	if !b.front.Drained() {
-		t.Fatal("Over reports false after the deadline")
+		t.Fatal("Drained reports false after the deadline")
 	}
 	done := make(chan struct{})
 	go func() { b.front.Close(); close(done) }()
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -28,7 +28,7 @@
 // Settings configures a [Back].
 type Settings struct {
 	MaxConnections int           // maximum number of connections
-	MaxAnswerBytes int           // bytes that all answers of more than http1.KeepSize may hold together
+	MaxAnswerBytes int           // bytes that all answers over http1.MaxReusedBuffer may use together
 	IdleTimeout    logic.Micros  // time after which targets close an idle connection
 	ConnectTimeout time.Duration // limit on the time to connect
 	LoadFields     LoadFields    // known fields of load reports
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Conn is a TCP connection. TryWrite, Quiet and the methods that call Quiet must not be called concurrently.
+// Conn is a TCP connection. TryWrite, CheckIdle and the methods that call CheckIdle must not be called concurrently.
 type Conn struct {
 	*net.TCPConn
 	raw          syscall.RawConn
@@ -28,9 +28,9 @@
 	readFunc  func(fd uintptr) bool
 }
 
-// GuardReads makes each Read hold mu while it reads from the socket, and call onRead before it releases mu. Code that holds
-// mu can therefore tell whether data has arrived: [Conn.CheckIdle] reports unread data, and onRead has recorded data that was
-// read. GuardReads must be called before the first Read.
+// GuardReads makes each Read hold mu while it reads from the socket, and call onRead before it releases mu. Code that
+// holds mu can therefore tell whether data has arrived: [Conn.CheckIdle] reports unread data, and onRead has recorded
+// data that was read. GuardReads must be called before the first Read.
 func (s *Conn) GuardReads(mu sync.Locker, onRead func()) {
 	s.readMutex, s.onRead = mu, onRead
 	s.readFunc = func(fd uintptr) bool {
@@ -130,7 +130,8 @@
 	return s.written, err
 }
 
-// CheckIdle returns an error if there is unread data from the peer, or the peer has closed the connection, or it is broken.
+// CheckIdle returns an error if there is unread data from the peer, or the peer has closed the connection, or it is
+// broken.
 func (s *Conn) CheckIdle() error {
 	s.opErr = nil
 	if err := s.raw.Control(func(fd uintptr) { s.peekFunc(fd) }); err != nil {
@@ -145,8 +146,8 @@
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
-// SetDiscardUnsent sets whether data that the peer has not received yet is discarded when the connection is closed, also by
-// the end of the process. If so, the connection is reset. By default the system goes on sending the data.
+// SetDiscardUnsent sets whether data that the peer has not received yet is discarded when the connection is closed,
+// also by the end of the process. If so, the connection is reset. By default the system goes on sending the data.
 func (s *Conn) SetDiscardUnsent(drop bool) {
 	seconds := -1
 	if drop {
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -62,7 +62,7 @@
 	}()
 	io.WriteString(far, "x")
 	time.Sleep(50 * time.Millisecond) // by then the reader is likely to wait for the guard
-	failIfSlow(t, "Shut blocks on the reader", c.Shutdown)
+	failIfSlow(t, "Shutdown blocks on the reader", c.Shutdown)
 	mu.Unlock()
 	failIfSlow(t, "the reader does not return", func() {
 		if err := <-read; err != io.EOF {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Quiet notices unread data and a close by the peer, and does not block.
+// CheckIdle notices unread data and a close by the peer, and does not block.
 func TestQuiet(t *testing.T) {
 	c, far := pair(t)
 	if err := c.CheckIdle(); err != nil {
