--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -17,8 +17,8 @@
 	// maxInterim is the number of 1xx answers that are skipped before a final answer.
 	maxInterim  = 8
 	initialSize = 1 << 10 // of a reader's buffer, in bytes
-	// MaxReusedBuffer is the largest buffer that a reader uses again. A larger one is replaced after its message, so the
-	// slices of a longer message remain valid.
+	// MaxReusedBuffer is the largest buffer that a reader uses again. A larger one is replaced after its message, so
+	// the slices of a longer message remain valid.
 	MaxReusedBuffer = 8 << 10
 )
 
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -430,8 +430,8 @@
 	c.front.seats.Move(now, c.seat, seats.Lingering)
 }
 
-// discardInput discards what arrives on a lingering connection until the client closes it, sends too much, or its time is
-// up. A request that arrives after the close for writing was not processed, so the client sends it again.
+// discardInput discards what arrives on a lingering connection until the client closes it, sends too much, or its time
+// is up. A request that arrives after the close for writing was not processed, so the client sends it again.
 func (c *client) discardInput() {
 	b := make([]byte, 4<<10)
 	for n := 0; n < maxUnexpectedInput; {
@@ -490,8 +490,8 @@
 // maxKeptBuffer is the size of the largest answer buffer that a connection keeps for its next answer.
 const maxKeptBuffer = 2 << 10
 
-// answerSent closes the connection or prepares it for the next request after an answer was written. The caller holds the
-// lock.
+// answerSent closes the connection or prepares it for the next request after an answer was written. The caller holds
+// the lock.
 func (c *client) answerSent(now logic.Micros, closeAfter bool) {
 	switch {
 	case c.disconnected:
@@ -516,8 +516,8 @@
 	c.flushed = nil
 }
 
-// answerHealth answers a health check: whether the front is ready for requests. It reports false when the connection has
-// ended.
+// answerHealth answers a health check: whether the front is ready for requests. It reports false when the connection
+// has ended.
 func (c *client) answerHealth(now logic.Micros) bool {
 	f := c.front
 	f.mu.Lock()
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -185,8 +185,8 @@
 }
 
 // A client that closes or resets its connection while its request is held is noticed, also if it has sent more data
-// after the request: the next request, many, or a part of one. Guards against reading that stops at the first byte after
-// the request and so misses a close after that byte.
+// after the request: the next request, many, or a part of one. Guards against reading that stops at the first byte
+// after the request and so misses a close after that byte.
 func TestLeavesWhileItWaits(t *testing.T) {
 	for name, more := range map[string]string{"alone": "", "a byte": "P", "half a request": putRequest("2", "x")[:60], "the next": putRequest("2", "x"),
 		"many": strings.Repeat(putRequest("3", "data"), 500), "a flood": strings.Repeat("x", maxUnexpectedInput+1)} {
@@ -232,9 +232,9 @@
 	b.expectNothingTaken()
 }
 
-// A client can read the whole last answer whatever it has sent after the request, and the end of the connection tells it
-// that this data was not processed. Guards against a close with unread input, which would reset the connection and lose
-// the answer.
+// A client can read the whole last answer whatever it has sent after the request, and the end of the connection tells
+// it that this data was not processed. Guards against a close with unread input, which would reset the connection and
+// lose the answer.
 func TestAnswerOverUnreadBytes(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 4<<10)
 	for name, more := range map[string]string{"a byte": "x", "a request": putRequest("2", "x"), "a lot": strings.Repeat("x", 40<<10)} {
@@ -298,7 +298,7 @@
 	t.Run("bytes wait", func(t *testing.T) {
 		b := newTestFront(t)
 		u := b.connect()
-		for i, met := 0, false; !met; i++ { // the connection of a client that repeats a refused request at once is paused
+		for i, met := 0, false; !met; i++ { // a refused request that is repeated at once pauses its connection
 			u.send(putRequest(fmt.Sprint(i), "x"))
 			r := b.nextTaken()
 			r.Front.Answer(b.Now(), r, core.Answer{Verdict: core.Refused})
