--- a/seats/seats.go
+++ b/seats/seats.go
@@ -1,9 +1,9 @@
-// Package seats decides on the connections of a front's clients: which are taken, which are closed when there are
-// too many or they take too long, how much their bodies may hold together, and how soon a client that comes back at
-// once is listened to again. It has no clock, goroutine or I/O.
+// Package seats controls the client connections of a front: which are admitted, which are closed because there are too
+// many or because they are too slow, how many bytes their bodies may occupy together, and how soon the front reads again
+// from a client that repeats a refused request at once. It has no clock, goroutine or I/O.
 //
-// It guards against crowds that say nothing, heads that never end, and clients that repeat what was refused without
-// a pause; it could harm a client that needs seconds between connecting and asking.
+// It guards against crowds of silent connections, request heads that never end, and clients that repeat a refused
+// request without a pause. Harm: a client that needs seconds between connecting and sending its request is closed.
 package seats
 
 import "appleplank/logic"
@@ -11,240 +11,243 @@
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// A client's first request must be whole speakBy after it connected, each further one readBy after its first
-	// byte: what is owed in 3 s has room for a late look.
-	speakBy = 2500 * ms
-	readBy  = 2500 * ms
-	// An idle connection that has asked before is kept for idleMost, and for idleLeast where more than crowded of
-	// the seats are taken: a client that finds it closed asks again on a new one. Clients that ask once and stay for
-	// good would else use up the connections that their platform grants to all clients together, long before the
-	// seats are gone: found on the long day, where a fifth of all requests had no connection left.
-	idleMost, idleLeast = 10 * sec, 2050 * ms
-	crowded             = 0.25
-	// Where more than scarce of the seats are taken, a connection ends with the answer to its first request: who asks
-	// once and stays holds none of those that all clients share. Found on the long day's rush, where closing idle ones
-	// after idleLeast still left 6% of the requests without one. Harm: a new connection for who would have asked again.
-	scarce = 0.4
-	// Where seats are short, a connection is not taken for speechless before unread: its request may be there and
-	// not be read yet.
-	unread = 250 * ms
-	// While the process ends, a connection that has asked once is not counted on for further requests from staysAfter
-	// on, and spare ones are left over, at least and as a part of all: where no connection is free a client has nowhere
-	// to go, and all clients of this process stop asking until it is back. Found by an incident: in four of eight ends
-	// no request came for the last 2 to 3 s, with 11 to 190 connections idle, many of them of who had asked once; each
-	// time since a moment when few or none were. Harm: held requests are given up that might have been served.
-	staysAfter          = 1 * sec
-	spareLeast, spareOf = 3, 6
-	// An answer must have been taken takeBy after it left: who reads more slowly is cut.
-	takeBy = 2 * sec
-	// After an answer that ends a connection the client has lingerFor to read it.
-	lingerFor = 200 * ms
-	// A request that is the same as one refused less than atOnce before on its connection comes back at once: after
-	// its answer the connection is not listened to for a pause, doubling with each from firstRest to mostRest.
-	atOnce              = 20 * ms
-	firstRest, mostRest = 20 * ms, 640 * ms
+	// A client's first request must be complete within firstRequestTimeout of connecting, each further one within
+	// nextRequestTimeout of its first byte. The limit that must be met is 3 s; the difference covers a late check.
+	firstRequestTimeout = 2500 * ms
+	nextRequestTimeout  = 2500 * ms
+	// An idle connection that has carried a request is kept for maxIdle, and for minIdle while more than crowdedShare of
+	// the seats are taken; a client that finds it closed retries on a new one. Otherwise clients that send one request and
+	// keep the connection use up the connections that the platform grants to all clients together, long before the seats
+	// run out: on the long day a fifth of all requests found no connection.
+	maxIdle, minIdle = 10 * sec, 2050 * ms
+	crowdedShare     = 0.25
+	// While more than scarceShare of the seats are taken, a connection is closed after the answer to its first request,
+	// so that clients that send one request and stay hold no connection that all clients share. In the rush of the long
+	// day, closing idle connections after minIdle alone left 6% of the requests without a connection. Harm: a client that
+	// would have sent more requests needs a new connection.
+	scarceShare = 0.4
+	// When seats are short, a connection counts as silent only after unreadGrace: its request may have arrived and not been
+	// read yet.
+	unreadGrace = 250 * ms
+	// During shutdown a connection that has carried only one request and has been idle for onceUsedIdleLimit is not
+	// expected to carry more. Of the other connections a reserve stays free of held requests: one in reserveDivisor, at
+	// least minReserve. When no connection is free, clients have nowhere to send to, and all clients of this process stop
+	// sending until it is back. In four of eight shutdowns no request arrived in the last 2 to 3 s although 11 to 190
+	// connections were idle, many of them of clients that had sent one request; each time this began when few or no
+	// connections were free. Harm: held requests are refused that might have been served.
+	onceUsedIdleLimit          = 1 * sec
+	minReserve, reserveDivisor = 3, 6
+	// A client must have read its answer within sendTimeout of its sending; a slower reader is disconnected.
+	sendTimeout = 2 * sec
+	// After an answer that closes the connection, the client has lingerTimeout to read it.
+	lingerTimeout = 200 * ms
+	// A request equal to one that was refused on the same connection less than instantRepeatWindow ago is an instant repeat.
+	// After its answer the front does not read from the connection for a pause, which doubles with each repeat from
+	// minReadPause to maxReadPause.
+	instantRepeatWindow        = 20 * ms
+	minReadPause, maxReadPause = 20 * ms, 640 * ms
 )
 
-// State is what a client's connection is at.
+// State is the phase a client connection is in.
 type State uint8
 
 const (
-	Silent    State = iota // has sent nothing yet
-	Speaking               // in the middle of its first request
-	Resuming               // in the middle of a further one
-	Idle                   // has been answered
+	Silent    State = iota // no byte received yet
+	Speaking               // receiving its first request
+	Resuming               // receiving a further request
+	Idle                   // last request answered
 	Open                   // a request is held
-	Sending                // is slow to take its answer
-	Lingering              // told that it ends
-	states
+	Sending                // the client is slow to read its answer
+	Lingering              // the client was told that the connection closes
+	numStates
 )
 
-// Seat is a connection's place.
+// Seat is the entry of one connection in a Table.
 type Seat struct {
 	Owner      any
 	state      State
-	since      logic.Micros
-	came       logic.Micros
+	stateSince logic.Micros
+	acceptedAt logic.Micros
 	prev, next *Seat
-	body       int
-	asked      int // requests that were taken on it
+	bodyBytes  int
+	requests   int // requests admitted on it
 
-	refused logic.Micros // when it was listened to again after the last refusal; 0: there was none
-	what    uint64       // what was refused
-	rest    logic.Micros // pause after the answer to the request at hand
-	rests   int
+	resumed logic.Micros // when reading resumed after the last refusal; 0: no refusal yet
+	refused uint64       // key of the request last refused
+	pause   logic.Micros // pause in reading after the answer to the current request
+	repeats int
 }
 
-// Limits bounds a table.
+// Limits bounds a Table.
 type Limits struct {
 	Seats  int
-	Open   int // requests taken at once; 0: as many as there are seats
-	Held   int // requests that should be held at once; 0: as many as are taken
-	Bodies int // bytes that bodies may hold together
+	Open   int // requests admitted at once; 0: no limit but the seats
+	Held   int // target for the requests held at once; 0: no limit but those admitted
+	Bodies int // bytes that all bodies may occupy together
 }
 
-// Table holds the seats.
+// Table tracks the connections of one front.
 type Table struct {
-	limits Limits
-	held   int // of Bodies
-	ending bool
-	lists  [states]list
-	Tally  Tally
+	limits       Limits
+	bodyBytes    int // sum over all seats, at most Limits.Bodies
+	shuttingDown bool
+	lists        [numStates]list
+	Tally        Tally
 }
 
-// Tally counts what was decided.
+// Tally counts the decisions of a Table.
 type Tally struct {
 	Taken, Turned, Displaced, Overdue, Rested uint64
-	Most                                      int // seats taken at once
+	Most                                      int // maximum number of seats taken at once
 }
 
 type list struct {
 	first, last *Seat
-	n           int
+	length      int
 }
 
-// New makes a table.
+// New returns an empty table.
 func New(l Limits) *Table { return &Table{limits: l} }
 
-// Ending says that no new connections will come: idle ones are kept from then on, as their clients cannot get others.
-// Found by an incident: clients whose connections ended as usual had nowhere to go until the process was back.
-func (t *Table) Ending() { t.ending = true }
+// Ending starts the shutdown: no new connections arrive from now on, so idle ones are kept. Clients whose connections
+// were closed as usual during a shutdown had nowhere to send to until the process was back.
+func (t *Table) Ending() { t.shuttingDown = true }
 
-// Room tells how many requests should be held at once; 0: there is no bound.
+// Room returns how many requests should be held at once; 0: no limit.
 func (t *Table) Room(now logic.Micros) int {
-	if !t.ending {
+	if !t.shuttingDown {
 		return t.limits.Held
 	}
-	n := t.lists[Open].n + t.lists[Resuming].n + t.lists[Sending].n
+	usable := t.lists[Open].length + t.lists[Resuming].length + t.lists[Sending].length
 	for s := t.lists[Idle].first; s != nil; s = s.next {
-		if s.asked > 1 || now-s.since < staysAfter {
-			n++
+		if s.requests > 1 || now-s.stateSince < onceUsedIdleLimit {
+			usable++
 		}
 	}
-	room := max(n-max(n/spareOf, spareLeast), 1)
+	quota := max(usable-max(usable/reserveDivisor, minReserve), 1)
 	if t.limits.Held > 0 {
-		room = min(room, t.limits.Held)
+		quota = min(quota, t.limits.Held)
 	}
-	return room
+	return quota
 }
 
-// Taken tells how many seats are.
+// Taken returns the number of seats in use.
 func (t *Table) Taken() (n int) {
 	for i := range t.lists {
-		n += t.lists[i].n
+		n += t.lists[i].length
 	}
 	return n
 }
 
-// beyond tells whether more than a part of the seats is taken.
-func (t *Table) beyond(part float64) bool { return float64(t.Taken()) > part*float64(t.limits.Seats) }
+// fuller reports whether more than the given share of the seats is taken.
+func (t *Table) fuller(share float64) bool { return float64(t.Taken()) > share*float64(t.limits.Seats) }
 
-// Take gives a new connection a seat. Where none is free the one that loses its own is out, to be closed: first who
-// has said nothing for longest, then who is longest in the middle of a first request, then who is idle for longest;
-// those that came or were served a moment ago only after all others. Where all others are in service the new one is
-// turned away (nil).
-func (t *Table) Take(now logic.Micros, owner any) (s, out *Seat) {
+// Take admits a new connection. If no seat is free it evicts one, which the caller must close: a lingering connection
+// first, then the one silent for longest, the one longest in its first request, the one idle for longest. Connections
+// that arrived or were served a moment ago are evicted only after all others. If every other connection is in service,
+// the new one is rejected and s is nil.
+func (t *Table) Take(now logic.Micros, owner any) (s, evicted *Seat) {
 	if t.Taken() >= t.limits.Seats {
 		for i, st := range [...]State{Lingering, Silent, Speaking, Idle, Silent, Speaking, Idle} {
-			least := [states]logic.Micros{Silent: unread, Speaking: unread, Idle: idleLeast}[st]
+			minAge := [numStates]logic.Micros{Silent: unreadGrace, Speaking: unreadGrace, Idle: minIdle}[st]
 			if i > 3 {
-				least = 0
+				minAge = 0
 			}
-			if out = t.lists[st].first; out != nil && now-out.since >= least {
+			if evicted = t.lists[st].first; evicted != nil && now-evicted.stateSince >= minAge {
 				break
 			}
-			out = nil
+			evicted = nil
 		}
-		if out == nil {
+		if evicted == nil {
 			t.Tally.Turned++
 			return nil, nil
 		}
 		t.Tally.Displaced++
-		t.Leave(out)
+		t.Leave(evicted)
 	}
-	s = &Seat{Owner: owner, since: now, came: now}
+	s = &Seat{Owner: owner, stateSince: now, acceptedAt: now}
 	t.push(s)
 	t.Tally.Taken++
 	t.Tally.Most = max(t.Tally.Most, t.Taken())
-	return s, out
+	return s, evicted
 }
 
-// Move says that a connection is at something else now. What is idle holds no body, and what was told that it ends
-// comes to nothing else.
+// Move changes the state of a connection. An idle connection holds no body bytes, and one that is lingering or released
+// keeps its state.
 func (t *Table) Move(now logic.Micros, s *Seat, to State) {
 	if s.state == to && to != Idle || s.Over() {
 		return
 	}
-	t.pull(s)
-	s.state, s.since = to, now
+	t.remove(s)
+	s.state, s.stateSince = to, now
 	t.push(s)
 	switch to {
 	case Open:
-		s.asked++
+		s.requests++
 	case Idle:
 		t.Free(s)
 	}
 }
 
-// Last tells whether a connection ends with the answer to the request that it has open.
+// Last reports whether a connection is to be closed after the answer to its current request.
 func (t *Table) Last(s *Seat) bool {
-	return !t.ending && s.asked <= 1 && t.beyond(scarce)
+	return !t.shuttingDown && s.requests <= 1 && t.fuller(scarceShare)
 }
 
-// State is what the connection is at.
+// State returns the current state of the connection.
 func (s *Seat) State() State { return s.state }
 
-// Leave frees a seat and what its body holds; it does so once.
+// Leave frees a seat and the bytes of its body. Further calls have no effect on the seat.
 func (t *Table) Leave(s *Seat) {
 	t.Free(s)
 	if s.Gone() {
 		return
 	}
-	t.pull(s)
-	s.since = -1
+	t.remove(s)
+	s.stateSince = -1
 }
 
-// Gone tells whether the seat was freed.
-func (s *Seat) Gone() bool { return s.since < 0 }
+// Gone reports whether the seat was freed.
+func (s *Seat) Gone() bool { return s.stateSince < 0 }
 
-// Over tells whether nothing that comes on the connection is taken any more.
+// Over reports whether input on the connection is ignored because the seat is freed or lingering.
 func (s *Seat) Over() bool { return s.Gone() || s.state == Lingering }
 
-// Hold takes room for a body; false: there is none, and the request must be refused.
+// Hold reserves bytes for a body. It returns false if they are not available; the request must then be refused.
 func (t *Table) Hold(s *Seat, bytes int) bool {
-	if s.Over() || t.held+bytes > t.limits.Bodies {
+	if s.Over() || t.bodyBytes+bytes > t.limits.Bodies {
 		return false
 	}
-	s.body += bytes
-	t.held += bytes
+	s.bodyBytes += bytes
+	t.bodyBytes += bytes
 	return true
 }
 
-// Free gives the room of a seat's body back.
+// Free returns the bytes reserved for a seat's body.
 func (t *Table) Free(s *Seat) {
-	t.held -= s.body
-	s.body = 0
+	t.bodyBytes -= s.bodyBytes
+	s.bodyBytes = 0
 }
 
-// Overdue gives the next connection that has taken too long, nil where there is none. It must be closed, or moved to
+// Overdue returns the next connection that has exceeded its time limit, or nil. The caller must close it or move it to
 // Lingering.
 func (t *Table) Overdue(now logic.Micros) *Seat {
-	idle := idleMost
-	if t.ending {
-		idle = 0
-	} else if t.beyond(crowded) {
-		idle = idleLeast
+	maxIdleNow := maxIdle
+	if t.shuttingDown {
+		maxIdleNow = 0
+	} else if t.fuller(crowdedShare) {
+		maxIdleNow = minIdle
 	}
-	for st, most := range [...]logic.Micros{Silent: speakBy, Resuming: readBy, Idle: idle, Sending: takeBy, Lingering: lingerFor} {
-		if s := t.lists[st].first; s != nil && most > 0 && now-s.since >= most {
+	for st, timeout := range [...]logic.Micros{Silent: firstRequestTimeout, Resuming: nextRequestTimeout, Idle: maxIdleNow, Sending: sendTimeout, Lingering: lingerTimeout} {
+		if s := t.lists[st].first; s != nil && timeout > 0 && now-s.stateSince >= timeout {
 			if State(st) != Lingering {
 				t.Tally.Overdue++
 			}
 			return s
 		}
 	}
-	for s := t.lists[Speaking].first; s != nil; s = s.next { // in order of their first bytes, not of their coming
-		if now-s.came >= speakBy {
+	for s := t.lists[Speaking].first; s != nil; s = s.next { // ordered by first byte, not by time of connecting
+		if now-s.acceptedAt >= firstRequestTimeout {
 			t.Tally.Overdue++
 			return s
 		}
@@ -252,37 +255,36 @@
 	return nil
 }
 
-// Refused notes that a request was refused; what tells it from others.
-func (t *Table) Refused(now logic.Micros, s *Seat, what uint64) { s.refused, s.what = now+s.rest, what }
+// Refused records that a request was refused; key identifies equal requests.
+func (t *Table) Refused(now logic.Micros, s *Seat, key uint64) { s.resumed, s.refused = now+s.pause, key }
 
-// Ask is asked when a request has come whole: whether it is taken, and for how long its connection is not listened to
-// after the answer.
-func (t *Table) Ask(now logic.Micros, s *Seat, what uint64) (rest logic.Micros, taken bool) {
-	if s.Over() || t.limits.Open > 0 && t.lists[Open].n >= t.limits.Open {
+// Ask decides whether a complete request is admitted, and for how long the connection is not read after the answer.
+func (t *Table) Ask(now logic.Micros, s *Seat, key uint64) (readPause logic.Micros, admitted bool) {
+	if s.Over() || t.limits.Open > 0 && t.lists[Open].length >= t.limits.Open {
 		return 0, false
 	}
-	rest = t.rest(now, s, what)
+	readPause = t.pauseFor(now, s, key)
 	t.Move(now, s, Open)
-	return rest, true
+	return readPause, true
 }
 
-func (t *Table) rest(now logic.Micros, s *Seat, what uint64) (rest logic.Micros) {
-	if s.refused == 0 || s.what != what || now-s.refused > atOnce {
-		s.rest, s.rests = 0, 0
+func (t *Table) pauseFor(now logic.Micros, s *Seat, key uint64) (pause logic.Micros) {
+	if s.resumed == 0 || s.refused != key || now-s.resumed > instantRepeatWindow {
+		s.pause, s.repeats = 0, 0
 		return 0
 	}
-	s.rest = min(firstRest<<min(s.rests, 10), mostRest)
-	if t.ending {
-		s.rest = firstRest // a request that is not read by the end is lost
+	s.pause = min(minReadPause<<min(s.repeats, 10), maxReadPause)
+	if t.shuttingDown {
+		s.pause = minReadPause // a request that has not been read when the process exits is lost
 	}
-	s.rests++
+	s.repeats++
 	t.Tally.Rested++
-	return s.rest
+	return s.pause
 }
 
 func (t *Table) push(s *Seat) {
 	l := &t.lists[s.state]
-	l.n++
+	l.length++
 	s.prev, s.next = l.last, nil
 	if l.last != nil {
 		l.last.next = s
@@ -292,9 +294,9 @@
 	l.last = s
 }
 
-func (t *Table) pull(s *Seat) {
+func (t *Table) remove(s *Seat) {
 	l := &t.lists[s.state]
-	l.n--
+	l.length--
 	if s.prev != nil {
 		s.prev.next = s.next
 	} else {
@@ -308,7 +310,7 @@
 	s.prev, s.next = nil, nil
 }
 
-// All gives every seat that is taken.
+// All returns every seat in use.
 func (t *Table) All() (out []*Seat) {
 	for i := range t.lists {
 		for s := t.lists[i].first; s != nil; s = s.next {
@@ -318,7 +320,7 @@
 	return out
 }
 
-// Busy tells how many connections are in the middle of a request or its answer.
+// Busy returns the number of connections that are receiving a request or sending its answer.
 func (t *Table) Busy() int {
-	return t.lists[Speaking].n + t.lists[Resuming].n + t.lists[Open].n + t.lists[Sending].n
+	return t.lists[Speaking].length + t.lists[Resuming].length + t.lists[Open].length + t.lists[Sending].length
 }
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -20,33 +20,35 @@
 	for _, want := range []*Seat{silent, slow, idle} {
 		s, out := take(10+sec, "usual")
 		if s == nil || out != want {
-			t.Fatalf("out is %v, want %v", out, want)
+			t.Fatalf("evicted %v, want %v", out, want)
 		}
 		table.Move(10+sec, s, Open)
 	}
 	if s, out := take(11+sec, "late"); s != nil || out != nil {
-		t.Fatal("all others are in service, yet one was taken")
+		t.Fatal("a connection was admitted though all others are in service")
 	}
 	if table.Taken() != 4 || table.Tally.Turned != 1 || table.Tally.Displaced != 3 {
 		t.Fatalf("%d taken, %+v", table.Taken(), table.Tally)
 	}
 }
 
-// One that came a moment ago may have asked already: those idle for long go before it, not the other way round.
+// A connection that arrived a moment ago may have sent its request already: one idle for long is evicted before it, not
+// the other way round.
 func TestUnreadIsNotSpeechless(t *testing.T) {
 	table := New(Limits{Seats: 2, Bodies: 100})
 	idle, _ := table.Take(0, "idle")
 	table.Move(0, idle, Idle)
 	fresh, _ := table.Take(3*sec, "fresh")
 	if _, out := table.Take(3*sec+ms, "next"); out != idle {
-		t.Fatal("an unread one lost its seat to save one idle for long")
+		t.Fatal("a connection not read yet was evicted instead of one idle for long")
 	}
 	if _, out := table.Take(3*sec+2*ms, "more"); out != fresh {
-		t.Fatal("with none idle the oldest speechless goes")
+		t.Fatal("with no idle connection the oldest silent one is evicted")
 	}
 }
 
-// Clients that ask once and stay, ten a second, never fill a third of the descriptors (the seats are half of them).
+// Clients that send one request and stay connected, ten a second, never fill a third of the descriptors, half of which
+// are seats.
 func TestThoseWhoAskOnceAndStay(t *testing.T) {
 	table := New(Limits{Seats: 128, Bodies: 100})
 	for now := logic.Micros(0); now < 60*sec; now += 90 * ms {
@@ -62,7 +64,7 @@
 	}
 }
 
-// No more requests are held than the settings allow, however many seats there are.
+// The number of admitted requests stays within the configured limit, however many seats there are.
 func TestOpenLimit(t *testing.T) {
 	table := New(Limits{Seats: 10, Open: 2})
 	var all []*Seat
@@ -75,29 +77,29 @@
 	}
 	table.Move(0, all[0], Idle)
 	if _, ok := table.Ask(0, all[2], 1); !ok {
-		t.Fatal("one was answered")
+		t.Fatal("rejected though one request was answered")
 	}
 	table.Leave(all[3])
 	if _, ok := table.Ask(0, all[3], 1); ok {
-		t.Fatal("its seat is gone")
+		t.Fatal("admitted on a released seat")
 	}
 }
 
-// Who takes an answer too slowly is cut; while it is on its way nobody takes the seat.
+// A client that reads its answer too slowly is disconnected; until then its connection is not evicted.
 func TestSlowReaders(t *testing.T) {
 	table := New(Limits{Seats: 1})
 	s, _ := table.Take(0, nil)
 	table.Ask(0, s, 1)
 	table.Move(sec, s, Sending)
-	if got, _ := table.Take(2*sec, nil); got != nil || table.Busy() != 1 || table.Overdue(sec+takeBy-1) != nil {
-		t.Fatal("it still takes its answer")
+	if got, _ := table.Take(2*sec, nil); got != nil || table.Busy() != 1 || table.Overdue(sec+sendTimeout-1) != nil {
+		t.Fatal("evicted or overdue while it still reads its answer")
 	}
-	if table.Overdue(sec+takeBy) != s {
-		t.Fatal("it is too slow")
+	if table.Overdue(sec+sendTimeout) != s {
+		t.Fatal("a reader that is too slow is not overdue")
 	}
 }
 
-// In a rush only those who have asked before keep their connections.
+// In a rush only clients that have sent requests before keep their connections.
 func TestFirstAnswerIsTheLastInARush(t *testing.T) {
 	table := New(Limits{Seats: 10, Bodies: 100})
 	var all []*Seat
@@ -111,16 +113,16 @@
 	table.Move(1, all[0], Idle)
 	table.Move(2, all[0], Open)
 	if table.Last(all[0]) {
-		t.Fatal("one that has asked before")
+		t.Fatal("closes a connection that has carried a request before")
 	}
 	table.Leave(all[5])
 	table.Leave(all[4])
 	if table.Last(all[1]) {
-		t.Fatal("the rush is over")
+		t.Fatal("closes a connection after the rush")
 	}
 }
 
-// Told to end, it keeps every connection that a client can still use.
+// During shutdown the table keeps every connection that a client can still use.
 func TestEndingKeepsConnections(t *testing.T) {
 	table := New(Limits{Seats: 4, Bodies: 100})
 	var s *Seat
@@ -129,18 +131,18 @@
 		table.Move(0, s, Open)
 	}
 	if !table.Last(s) {
-		t.Fatal("a rush")
+		t.Fatal("keeps the connection in a rush")
 	}
 	if table.Ending(); table.Last(s) {
-		t.Fatal("its client cannot get another")
+		t.Fatal("closes a connection whose client cannot get another")
 	}
 	table.Move(0, s, Idle)
 	if table.Overdue(100*sec) != nil {
-		t.Fatal("an idle one was closed")
+		t.Fatal("an idle connection is overdue during shutdown")
 	}
 }
 
-// A crowd that says nothing costs those that ask nothing, however large it is.
+// A crowd of silent connections of any size takes nothing from clients that send requests.
 func TestCrowdStarvesNoUsualClient(t *testing.T) {
 	table := New(Limits{Seats: 20, Bodies: 100})
 	var usual []*Seat
@@ -151,12 +153,12 @@
 	}
 	for i := range 1000 {
 		if s, _ := table.Take(logic.Micros(100+i), "crowd"); s == nil {
-			t.Fatal("turned away")
+			t.Fatal("connection rejected")
 		}
 		if i%100 == 0 {
 			s, _ := table.Take(logic.Micros(100+i), "new")
 			if s == nil {
-				t.Fatal("a usual client was turned away")
+				t.Fatal("a usual client was rejected")
 			}
 			table.Move(logic.Micros(100+i), s, Open)
 			table.Leave(s)
@@ -164,7 +166,7 @@
 	}
 	for _, s := range usual {
 		if s.Gone() {
-			t.Fatal("one in service lost its seat")
+			t.Fatal("a connection in service was evicted")
 		}
 	}
 }
@@ -173,18 +175,18 @@
 	table := New(Limits{Seats: 100, Bodies: 100})
 	silent, _ := table.Take(0, nil)
 	speaking, _ := table.Take(1, nil)
-	table.Move(2*sec, speaking, Speaking) // its time counts from when it came all the same
+	table.Move(2*sec, speaking, Speaking) // its time still counts from connecting
 	open, _ := table.Take(0, nil)
 	table.Move(0, open, Open)
 	idle, _ := table.Take(0, nil)
 	table.Move(0, idle, Idle)
-	if s := table.Overdue(speakBy - 1); s != nil {
-		t.Fatal("too early")
+	if s := table.Overdue(firstRequestTimeout - 1); s != nil {
+		t.Fatal("overdue too early")
 	}
 	for _, c := range []struct {
 		at   logic.Micros
 		want *Seat
-	}{{speakBy, silent}, {1 + speakBy, speaking}, {idleMost, idle}} {
+	}{{firstRequestTimeout, silent}, {1 + firstRequestTimeout, speaking}, {maxIdle, idle}} {
 		s := table.Overdue(c.at)
 		if s != c.want {
 			t.Fatalf("at %d: %+v", c.at, s)
@@ -192,47 +194,47 @@
 		table.Leave(s)
 	}
 	if s := table.Overdue(1000 * sec); s != nil {
-		t.Fatal("a request that is held is never overdue")
+		t.Fatal("a connection with a held request is overdue")
 	}
-	// Where seats are scarce idle ones go sooner.
+	// Where seats are scarce, idle connections expire sooner.
 	table = New(Limits{Seats: 10, Bodies: 100})
 	for range 3 {
 		s, _ := table.Take(0, nil)
 		table.Move(0, s, Idle)
 	}
-	if table.Overdue(idleLeast) == nil {
-		t.Fatal("crowded, yet idle ones stay")
+	if table.Overdue(minIdle) == nil {
+		t.Fatal("idle connections stay though the table is crowded")
 	}
 }
 
 func TestInstantRepeats(t *testing.T) {
 	table := New(Limits{Seats: 10, Bodies: 100})
 	s, _ := table.Take(0, nil)
-	if table.rest(0, s, 7) != 0 {
-		t.Fatal("the first one rests")
+	if table.pauseFor(0, s, 7) != 0 {
+		t.Fatal("a pause after the first request")
 	}
 	table.Refused(10, s, 7)
 	now := logic.Micros(10 + ms)
-	want := firstRest
+	want := minReadPause
 	for range 20 {
-		rest := table.rest(now, s, 7)
+		rest := table.pauseFor(now, s, 7)
 		if rest != want {
-			t.Fatalf("rest %d, want %d", rest, want)
+			t.Fatalf("pause %d, want %d", rest, want)
 		}
 		table.Refused(now, s, 7)
-		now += rest + ms // it is listened to again, and is back at once
-		want = min(2*want, mostRest)
+		now += rest + ms // the front reads again, and the repeat follows at once
+		want = min(2*want, maxReadPause)
 	}
-	if table.rest(now+atOnce, s, 7) != 0 {
-		t.Fatal("one that waited rests")
+	if table.pauseFor(now+instantRepeatWindow, s, 7) != 0 {
+		t.Fatal("a pause for a repeat that waited")
 	}
 	table.Refused(now, s, 7)
-	if table.rest(now, s, 8) != 0 {
-		t.Fatal("another request rests")
+	if table.pauseFor(now, s, 8) != 0 {
+		t.Fatal("a pause for a different request")
 	}
 }
 
-// Whatever happens in whatever order, seats and room for bodies add up.
+// In any order of operations the numbers of seats and of reserved body bytes are consistent.
 func TestSeatsAddUp(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	table := New(Limits{Seats: 30, Bodies: 1000})
@@ -254,7 +256,7 @@
 			case 2:
 				table.Free(s)
 			default:
-				table.Move(now, s, State(rng.IntN(int(states))))
+				table.Move(now, s, State(rng.IntN(int(numStates))))
 			}
 		}
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
@@ -263,15 +265,15 @@
 		body := 0
 		all := table.All()
 		for _, s := range all {
-			body += s.body
+			body += s.bodyBytes
 		}
 		for _, s := range held {
 			if s.Gone() {
-				body += s.body
+				body += s.bodyBytes
 			}
 		}
-		if len(all) != table.Taken() || table.Taken() > table.limits.Seats || body > table.limits.Bodies || table.held > table.limits.Bodies {
-			t.Fatalf("%d in lists, %d taken, %d bytes, %d held", len(all), table.Taken(), body, table.held)
+		if len(all) != table.Taken() || table.Taken() > table.limits.Seats || body > table.limits.Bodies || table.bodyBytes > table.limits.Bodies {
+			t.Fatalf("%d in lists, %d taken, %d bytes, %d held", len(all), table.Taken(), body, table.bodyBytes)
 		}
 	}
 	for _, s := range table.All() {
@@ -280,13 +282,13 @@
 	for _, s := range held {
 		table.Free(s)
 	}
-	if table.Taken() != 0 || table.held != 0 {
-		t.Fatal(table.Taken(), table.held)
+	if table.Taken() != 0 || table.bodyBytes != 0 {
+		t.Fatal(table.Taken(), table.bodyBytes)
 	}
 }
 
-// While the process ends, held requests leave some of the connections free, and none of those that nobody will use
-// again is counted on: the moment that all are in use is the last that is heard of the clients.
+// During shutdown, held requests leave some connections free, and connections that no client will use again are not
+// counted as free: once all connections are in use no further request can arrive.
 func TestRoomWhileEnding(t *testing.T) {
 	table := New(Limits{Seats: 100, Held: 20})
 	for i := range 40 {
@@ -294,30 +296,30 @@
 		switch {
 		case i < 8:
 			table.Ask(0, s, 1) // open
-		case i < 20: // have asked again and again
+		case i < 20: // have carried two requests
 			table.Ask(0, s, 1)
 			table.Move(0, s, Idle)
 			table.Ask(0, s, 1)
 			table.Move(0, s, Idle)
-		case i < 30: // have asked once
+		case i < 30: // have carried one request
 			table.Ask(0, s, 1)
 			table.Move(0, s, Idle)
 		}
 	}
 	if n := table.Room(0); n != 20 {
-		t.Fatalf("room %d while new connections may come", n)
+		t.Fatalf("quota %d while new connections may arrive", n)
 	}
 	table.Ending()
-	if n := table.Room(staysAfter - 1); n != 20 { // 25 of 30 connections, and the bound
-		t.Errorf("room %d", n)
+	if n := table.Room(onceUsedIdleLimit - 1); n != 20 { // 25 of 30 connections, capped by Limits.Held
+		t.Errorf("quota %d", n)
 	}
-	if n := table.Room(staysAfter); n != 17 { // of 20
-		t.Errorf("room %d where ten have asked once", n)
+	if n := table.Room(onceUsedIdleLimit); n != 17 { // of 20
+		t.Errorf("quota %d where ten connections have carried one request", n)
 	}
 	for _, s := range table.All() {
 		table.Leave(s)
 	}
-	if n := table.Room(staysAfter); n != 1 {
-		t.Errorf("room %d with no connection", n)
+	if n := table.Room(onceUsedIdleLimit); n != 1 {
+		t.Errorf("quota %d with no connection", n)
 	}
 }
