--- a/spares/spares.go
+++ b/spares/spares.go
@@ -1,5 +1,5 @@
-// Package spares decides on the connections to targets that carry one request at a time: which idle one takes the
-// next, which are closed and when, and which gives way when there are too many. It has no clock, goroutine or I/O.
+// Package spares manages the connections to targets that carry one request at a time: which idle one carries the next
+// request, which are closed and when, and which is evicted when there are too many. It has no clock, goroutine or I/O.
 package spares
 
 import (
@@ -12,189 +12,193 @@
 const (
 	ms logic.Micros = 1000
 
-	// A target closes what was idle for the settings' time, and what is written then is lost: ours are closed at
-	// idlePart of it. Harm: a target asked so seldom costs a new connection.
-	idlePart = 0.75
-	// settle is how long a connection rests after an answer before it takes the next request: what a target sends
-	// beyond its answer comes right behind it, a second answer some milliseconds later, as the operators say. Nothing
-	// tells it from the answer to a request that was written meanwhile. Harm: a new connection for who asks again sooner.
-	settle = 20 * ms
-
-	// Some targets, or what stands before them, drop connections long before the settings' time and say so only to
-	// the next request. What became of requests on kept connections is remembered by how long those had been idle;
-	// connections of an age at which more than lostPart were lost, of lostLeast at least, are not used. Such news
-	// counts half after newsHalf, so that an age is tried again. Found by a trace: of those idle for 0.2 to 0.5 s 40%
-	// were reset, of younger ones 9%, as of new ones. Harm: new connections where kept ones would have done.
-	lostPart  = 0.2
-	lostLeast = 3.0
-	newsHalf  = 10 * 1000 * ms
-	ages      = 16 // the last for all of 16 s and more
+	// A target closes a connection that was idle for the configured time, and what is written to it then is lost: the
+	// initiator closes idle connections at usableIdleShare of that time. Harm: a target that is used so seldom needs a new
+	// connection.
+	usableIdleShare = 0.75
+	// settleTime is how long a connection stays unused after an answer. Anything a target sends beyond its answer follows
+	// right behind it, a second answer some milliseconds later, according to the operators. It cannot be told from the
+	// answer to a request that was written in the meantime. Harm: a request that comes sooner needs a new connection.
+	settleTime = 20 * ms
+
+	// Some targets, or the devices in front of them, drop connections long before the configured time and show it only
+	// to the next request. The set therefore records the outcomes of requests on reused connections by how long these had
+	// been idle; connections of an age class with more than maxLossShare losses, and at least minLosses, are not used.
+	// Records lose half of their weight within lossHalfLife, so that an age class is tried again. In a trace 40% of the
+	// connections idle for 0.2 to 0.5 s were reset, and 9% of younger ones, as of new ones. Harm: new connections where
+	// reused ones would have worked.
+	maxLossShare = 0.2
+	minLosses    = 3.0
+	lossHalfLife = 10 * 1000 * ms
+	ageClasses   = 16 // the last class covers 16 s and more
 )
 
-// Line is a connection.
+// Line is a connection to a target.
 type Line struct {
-	Owner any
-	node  logic.NodeID
-	since logic.Micros
-	idle  bool
-	gone  bool
-	age   int // class of how long it had been idle when it was last used, plus one; 0: it is new
+	Owner        any
+	node         logic.NodeID
+	idleSince    logic.Micros
+	idle         bool
+	closed       bool
+	usedAgeClass int // age class at its last use, plus one; 0: it is new
 }
 
-// fate is what became of requests on connections that had been idle for about as long; the sums fade.
-type fate struct {
-	lost, all float64
-	at        logic.Micros
+// lossRecord counts requests on reused connections of one age class, and those lost; older ones weigh less.
+type lossRecord struct {
+	lost, total float64
+	updatedAt   logic.Micros
 }
 
-// age is the class of a time: doublings from a millisecond on.
-func age(idle logic.Micros) int { return min(bits.Len64(uint64(max(idle, 0)/ms)), ages-1) }
+// ageClass returns the class of an idle time; the classes double from 1 ms on.
+func ageClass(d logic.Micros) int { return min(bits.Len64(uint64(max(d, 0)/ms)), ageClasses-1) }
 
 // Set holds the connections of one initiator to its targets.
 type Set struct {
-	most  int
-	room  int // bytes for long answers
-	held  int
-	idle  logic.Micros
-	open  int
-	nodes map[logic.NodeID][]*Line // idle, the longest first
-	fates [ages]fate               // by the age at which a connection was used
-	Tally Tally
+	maxOpen        int
+	maxAnswerBytes int // limit for answerBytes
+	answerBytes    int
+	maxIdle        logic.Micros
+	open           int
+	idleLines      map[logic.NodeID][]*Line // longest idle first
+	losses         [ageClasses]lossRecord   // by the age class of the connection when it was used
+	Tally          Tally
 }
 
-// Tally counts what was decided.
+// Tally counts the decisions of a Set.
 type Tally struct {
 	Opened, Used, Aged, Displaced, Turned, NoRoom uint64
 	Most                                          int
 }
 
-// New makes a set for so many connections at most, whose long answers may hold so many bytes together; targets close
-// what was idle for the given time.
-func New(most, room int, idle logic.Micros) *Set {
-	return &Set{most: most, room: room, idle: logic.Micros(float64(idle) * idlePart), nodes: map[logic.NodeID][]*Line{}}
+// New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together. Targets
+// close a connection that was idle for the given time.
+func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Set {
+	return &Set{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Line{}}
 }
 
-// Open tells how many connections there are, and how many of them are idle.
+// Open returns the number of connections, and how many of them are idle.
 func (s *Set) Open() (open, idle int) {
-	for _, l := range s.nodes {
+	for _, l := range s.idleLines {
 		idle += len(l)
 	}
 	return s.open, idle
 }
 
-// Pick takes the idle connection for a node's next request: of those that have settled the one used last, as the
-// others age out; nil: a new one is needed.
+// Pick returns an idle connection for the node's next request, or nil if a new one is needed. Of the connections that
+// have settled it takes the one used last, so that the others reach their maximum idle time.
 func (s *Set) Pick(now logic.Micros, node logic.NodeID) *Line {
-	list := s.nodes[node]
+	list := s.idleLines[node]
 	for i := len(list) - 1; i >= 0; i-- {
-		if x := list[i]; now-x.since >= settle && now-x.since < s.idle && s.lasts(now, age(now-x.since)) {
-			s.take(x)
-			x.age = 1 + age(now-x.since)
+		if line := list[i]; now-line.idleSince >= settleTime && now-line.idleSince < s.maxIdle && s.usableAt(now, ageClass(now-line.idleSince)) {
+			s.removeIdle(line)
+			line.usedAgeClass = 1 + ageClass(now-line.idleSince)
 			s.Tally.Used++
-			return x
+			return line
 		}
 	}
 	return nil
 }
 
-// Ended says whether the request that a connection took last was lost with it.
+// Ended records whether the last request on a connection was lost with the connection.
 func (s *Set) Ended(now logic.Micros, l *Line, lost bool) {
-	if l.age == 0 {
+	if l.usedAgeClass == 0 {
 		return
 	}
-	f := &s.fates[l.age-1]
-	f.fade(now)
-	f.all++
+	record := &s.losses[l.usedAgeClass-1]
+	record.decay(now)
+	record.total++
 	if lost {
-		f.lost++
+		record.lost++
 	}
-	l.age = 0
+	l.usedAgeClass = 0
 }
 
-func (f *fate) fade(now logic.Micros) {
-	part := math.Exp2(-float64(now-f.at) / float64(newsHalf))
-	f.lost, f.all, f.at = f.lost*part, f.all*part, now
+func (f *lossRecord) decay(now logic.Micros) {
+	factor := math.Exp2(-float64(now-f.updatedAt) / float64(lossHalfLife))
+	f.lost, f.total, f.updatedAt = f.lost*factor, f.total*factor, now
 }
 
-// lasts tells whether connections that were idle for so long are used.
-func (s *Set) lasts(now logic.Micros, age int) bool {
-	f := s.fates[age]
-	f.fade(now)
-	return f.lost < lostLeast || f.lost <= lostPart*f.all
+// usableAt reports whether connections of the given age class are used.
+func (s *Set) usableAt(now logic.Micros, class int) bool {
+	record := s.losses[class]
+	record.decay(now)
+	return record.lost < minLosses || record.lost <= maxLossShare*record.total
 }
 
-// Dial asks for room for a new connection: where there is none the connection idle for longest is out, to be closed;
-// ok is false where none is idle.
-func (s *Set) Dial() (out *Line, ok bool) {
-	if s.open >= s.most {
-		for _, list := range s.nodes {
-			if len(list) > 0 && (out == nil || list[0].since < out.since || list[0].since == out.since && list[0].node < out.node) {
-				out = list[0]
+// Dial reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest, which
+// the caller must close; ok is false if no connection is idle.
+func (s *Set) Dial() (evicted *Line, ok bool) {
+	if s.open >= s.maxOpen {
+		for _, list := range s.idleLines {
+			if len(list) > 0 && (evicted == nil || list[0].idleSince < evicted.idleSince || list[0].idleSince == evicted.idleSince && list[0].node < evicted.node) {
+				evicted = list[0]
 			}
 		}
-		if out == nil {
+		if evicted == nil {
 			s.Tally.Turned++
 			return nil, false
 		}
 		s.Tally.Displaced++
-		s.Gone(out)
+		s.Gone(evicted)
 	}
 	s.open++
 	s.Tally.Opened++
 	s.Tally.Most = max(s.Tally.Most, s.open)
-	return out, true
+	return evicted, true
 }
 
-// Idle says that a connection has nothing out.
+// Idle records that a connection has no request in flight.
 func (s *Set) Idle(now logic.Micros, node logic.NodeID, l *Line) {
-	l.node, l.since, l.idle = node, now, true
-	s.nodes[node] = append(s.nodes[node], l)
+	l.node, l.idleSince, l.idle = node, now, true
+	s.idleLines[node] = append(s.idleLines[node], l)
 }
 
-// Gone says that a connection is closed or will be; it counts once. Who closed one that was displaced or overdue said
-// so again, and the number of open ones fell below zero, so that their bound never held.
+// Gone records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
+// overdue connection reports its closing once more; if that counted, the number of open connections would fall below
+// zero and their limit would not hold.
 func (s *Set) Gone(l *Line) {
-	if l.gone {
+	if l.closed {
 		return
 	}
-	l.gone = true
+	l.closed = true
 	if l.idle {
-		s.take(l)
+		s.removeIdle(l)
 	}
 	s.open--
 }
 
-// Overdue gives the next connection that was idle for too long, taken out; nil: there is none.
-func (s *Set) Overdue(now logic.Micros) (out *Line) {
-	for _, list := range s.nodes {
-		if l := list[0]; now-l.since >= s.idle && (out == nil || l.node < out.node) {
-			out = l
+// Overdue removes and returns the next connection that was idle for too long, or nil.
+func (s *Set) Overdue(now logic.Micros) (overdue *Line) {
+	for _, list := range s.idleLines {
+		if l := list[0]; now-l.idleSince >= s.maxIdle && (overdue == nil || l.node < overdue.node) {
+			overdue = l
 		}
 	}
-	if out != nil {
+	if overdue != nil {
 		s.Tally.Aged++
-		s.Gone(out)
+		s.Gone(overdue)
 	}
-	return out
+	return overdue
 }
 
-// Hold takes room for an answer of more than a few KiB; false: all together would hold more than their part of the
-// memory. Harm: a target that claims such lengths and sends nothing holds the room until its attempts time out.
+// Hold reserves bytes for an answer of more than a few KiB. It returns false if all long answers together would exceed
+// their share of the memory. Harm: a target that announces long answers and sends nothing occupies the bytes until its
+// attempts time out.
 func (s *Set) Hold(bytes int) bool {
-	if s.held+bytes > s.room {
+	if s.answerBytes+bytes > s.maxAnswerBytes {
 		s.Tally.NoRoom++
 		return false
 	}
-	s.held += bytes
+	s.answerBytes += bytes
 	return true
 }
 
-// Free gives room back.
-func (s *Set) Free(bytes int) { s.held -= bytes }
+// Free returns reserved bytes.
+func (s *Set) Free(bytes int) { s.answerBytes -= bytes }
 
-func (s *Set) take(l *Line) {
+func (s *Set) removeIdle(l *Line) {
 	l.idle = false
-	list := s.nodes[l.node]
+	list := s.idleLines[l.node]
 	for i, x := range list {
 		if x == l {
 			list = append(list[:i], list[i+1:]...)
@@ -202,8 +206,8 @@
 		}
 	}
 	if len(list) == 0 {
-		delete(s.nodes, l.node)
+		delete(s.idleLines, l.node)
 	} else {
-		s.nodes[l.node] = list
+		s.idleLines[l.node] = list
 	}
 }
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -16,28 +16,28 @@
 	s.Idle(0, 1, &a)
 	s.Idle(30*ms, 1, &b)
 	if s.Pick(31*ms, 2) != nil {
-		t.Fatal("another node's")
+		t.Fatal("picked a connection of another node")
 	}
 	if got := s.Pick(31*ms, 1); got != &a {
-		t.Fatal("b has not settled yet, and a has")
+		t.Fatal("want a, which has settled; b has not")
 	}
 	s.Idle(32*ms, 1, &a)
 	if s.Pick(60*ms, 1) != &a || s.Pick(60*ms, 1) != &b || s.Pick(60*ms, 1) != nil {
-		t.Fatal("the one used last goes first")
+		t.Fatal("want the connection used last first")
 	}
 }
 
-// A connection that its target may close at any moment carries nothing any more, also where no sweep has come by.
+// A connection that its target may close at any moment carries no further request, even if no sweep has closed it yet.
 func TestOldOnesCarryNothing(t *testing.T) {
 	s := New(10, 0, 1000*ms)
 	var a Line
 	s.Dial()
 	s.Idle(0, 1, &a)
 	if s.Pick(750*ms, 1) != nil {
-		t.Fatal("it may be closed as this is written")
+		t.Fatal("picked a connection that its target may close during the write")
 	}
 	if s.Overdue(749*ms) != nil || s.Overdue(750*ms) != &a || s.Overdue(750*ms) != nil {
-		t.Fatal("it is to be closed once, in time")
+		t.Fatal("want the connection overdue once, at its maximum idle time")
 	}
 	if open, idle := s.Open(); open != 0 || idle != 0 {
 		t.Fatal(open, idle)
@@ -50,12 +50,12 @@
 	s.Dial()
 	s.Dial()
 	if _, ok := s.Dial(); ok {
-		t.Fatal("beyond the bound")
+		t.Fatal("opened more connections than the limit")
 	}
 	s.Idle(5, 1, &a)
 	s.Idle(4, 2, &b)
 	if out, ok := s.Dial(); !ok || out != &b {
-		t.Fatal("the one idle for longest gives way")
+		t.Fatal("want the connection idle for longest evicted")
 	}
 }
 
@@ -85,12 +85,12 @@
 		for s.Overdue(now) != nil {
 		}
 		if open, idle := s.Open(); open != idle+len(out) || open > 20 {
-			t.Fatalf("%d open, %d idle, %d out", open, idle, len(out))
+			t.Fatalf("%d open, %d idle, %d in use", open, idle, len(out))
 		}
 	}
 }
 
-// What was displaced or overdue is closed by its owner, who says so once more.
+// The owner of an evicted or overdue connection closes it and reports that once more.
 func TestGoneCountsOnce(t *testing.T) {
 	s := New(2, 0, 1000*ms)
 	var a, b, c Line
@@ -116,15 +116,15 @@
 func TestRoomForLongAnswers(t *testing.T) {
 	s := New(2, 150, 1000*ms)
 	if !s.Hold(100) || s.Hold(100) || !s.Hold(50) {
-		t.Fatal("room")
+		t.Fatal("reserved bytes do not follow the limit")
 	}
 	s.Free(100)
 	if !s.Hold(100) || s.Tally.NoRoom != 1 {
-		t.Fatal("room that was given back")
+		t.Fatal("returned bytes are not available")
 	}
 }
 
-// Connections of an age at which many were lost are left, younger ones and, after a while, these are used again.
+// Connections of an age class with many losses are not used; younger ones are, and after a while that class again.
 func TestAgesThatDoNotLast(t *testing.T) {
 	s := New(10, 0, 100000*ms)
 	var l Line
@@ -135,7 +135,7 @@
 		now += idle
 		got := s.Pick(now, 1)
 		if got == nil {
-			s.take(&l)
+			s.removeIdle(&l)
 			return false
 		}
 		s.Ended(now, got, lost)
@@ -143,20 +143,20 @@
 	}
 	for i := range 100 {
 		if !use(30*ms, i%10 == 0) {
-			t.Fatal("one in ten is what new ones lose as well")
+			t.Fatal("not used though one loss in ten is what new connections have as well")
 		}
 	}
 	n := 0
 	for i := 0; use(300*ms, i%2 == 0); i++ {
 		if n++; n > 10 {
-			t.Fatal("half of them are lost, yet they are used")
+			t.Fatal("used though half of them are lost")
 		}
 	}
 	if !use(30*ms, false) {
-		t.Fatal("younger ones last")
+		t.Fatal("younger connections are not used")
 	}
-	now += 2 * newsHalf
+	now += 2 * lossHalfLife
 	if !use(300*ms, false) {
-		t.Fatal("an age that is not tried again is lost for ever")
+		t.Fatal("the age class is not tried again")
 	}
 }
