--- a/seats/seats.go
+++ b/seats/seats.go
@@ -1,6 +1,6 @@
 // Package seats controls the client connections of a front: which are admitted, which are closed because there are too
-// many or because they are too slow, how many bytes their bodies may occupy together, and how soon the front reads again
-// from a client that repeats a refused request at once. It has no clock, goroutine or I/O.
+// many or because they are too slow, how many bytes their bodies may occupy together, and how soon the front reads
+// again from a client that repeats a refused request at once. It has no clock, goroutine or I/O.
 //
 // It guards against crowds of silent connections, request heads that never end, and clients that repeat a refused
 // request without a pause. Harm: a client that needs seconds between connecting and sending its request is closed.
@@ -15,25 +15,25 @@
 	// nextRequestTimeout of its first byte. The limit that must be met is 3 s; the difference covers a late check.
 	firstRequestTimeout = 2500 * ms
 	nextRequestTimeout  = 2500 * ms
-	// An idle connection that has carried a request is kept for maxIdle, and for minIdle while more than crowdedShare of
-	// the seats are taken; a client that finds it closed retries on a new one. Otherwise clients that send one request and
-	// keep the connection use up the connections that the platform grants to all clients together, long before the seats
-	// run out: on the long day a fifth of all requests found no connection.
+	// An idle connection that has carried a request is kept for maxIdle, and for minIdle while more than crowdedShare
+	// of the seats are taken; a client that finds it closed retries on a new one. Otherwise clients that send one
+	// request and keep the connection use up the connections that the platform grants to all clients together, long
+	// before the seats run out: on the long day a fifth of all requests found no connection.
 	maxIdle, minIdle = 10 * sec, 2050 * ms
 	crowdedShare     = 0.25
 	// While more than scarceShare of the seats are taken, a connection is closed after the answer to its first request,
 	// so that clients that send one request and stay hold no connection that all clients share. In the rush of the long
-	// day, closing idle connections after minIdle alone left 6% of the requests without a connection. Harm: a client that
-	// would have sent more requests needs a new connection.
+	// day, closing idle connections after minIdle alone left 6% of the requests without a connection. Harm: a client
+	// that would have sent more requests needs a new connection.
 	scarceShare = 0.4
-	// When seats are short, a connection counts as silent only after unreadGrace: its request may have arrived and not been
-	// read yet.
+	// When seats are short, a connection counts as silent only after unreadGrace: its request may have arrived and not
+	// been read yet.
 	unreadGrace = 250 * ms
 	// During shutdown a connection that has carried only one request and has been idle for onceUsedIdleLimit is not
 	// expected to carry more. Of the other connections a reserve stays free of held requests: one in reserveDivisor, at
-	// least minReserve. When no connection is free, clients have nowhere to send to, and all clients of this process stop
-	// sending until it is back. In four of eight shutdowns no request arrived in the last 2 to 3 s although 11 to 190
-	// connections were idle, many of them of clients that had sent one request; each time this began when few or no
+	// least minReserve. When no connection is free, clients have nowhere to send to, and all clients of this process
+	// stop sending until it is back. In four of eight shutdowns no request arrived in the last 2 to 3 s although 11 to
+	// 190 connections were idle, many of them of clients that had sent one request; each time this began when few or no
 	// connections were free. Harm: held requests are refused that might have been served.
 	onceUsedIdleLimit          = 1 * sec
 	minReserve, reserveDivisor = 3, 6
@@ -41,9 +41,9 @@
 	sendTimeout = 2 * sec
 	// After an answer that closes the connection, the client has lingerTimeout to read it.
 	lingerTimeout = 200 * ms
-	// A request equal to one that was refused on the same connection less than instantRepeatWindow ago is an instant repeat.
-	// After its answer the front does not read from the connection for a pause, which doubles with each repeat from
-	// minReadPause to maxReadPause.
+	// A request equal to one that was refused on the same connection less than instantRepeatWindow ago is an instant
+	// repeat. After its answer the front does not read from the connection for a pause, which doubles with each repeat
+	// from minReadPause to maxReadPause.
 	instantRepeatWindow        = 20 * ms
 	minReadPause, maxReadPause = 20 * ms, 640 * ms
 )
@@ -73,7 +73,7 @@
 	requests   int // requests admitted on it
 
 	resumed logic.Micros // when reading resumed after the last refusal; 0: no refusal yet
-	refused uint64       // key of the request last refused
+	key     uint64       // key of the request last refused
 	pause   logic.Micros // pause in reading after the answer to the current request
 	repeats int
 }
@@ -256,7 +256,7 @@
 }
 
 // Refused records that a request was refused; key identifies equal requests.
-func (t *Table) Refused(now logic.Micros, s *Seat, key uint64) { s.resumed, s.refused = now+s.pause, key }
+func (t *Table) Refused(now logic.Micros, s *Seat, key uint64) { s.resumed, s.key = now+s.pause, key }
 
 // Ask decides whether a complete request is admitted, and for how long the connection is not read after the answer.
 func (t *Table) Ask(now logic.Micros, s *Seat, key uint64) (readPause logic.Micros, admitted bool) {
@@ -269,7 +269,7 @@
 }
 
 func (t *Table) pauseFor(now logic.Micros, s *Seat, key uint64) (pause logic.Micros) {
-	if s.resumed == 0 || s.refused != key || now-s.resumed > instantRepeatWindow {
+	if s.resumed == 0 || s.key != key || now-s.resumed > instantRepeatWindow {
 		s.pause, s.repeats = 0, 0
 		return 0
 	}
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -13,20 +13,21 @@
 	ms logic.Micros = 1000
 
 	// A target closes a connection that was idle for the configured time, and what is written to it then is lost: the
-	// initiator closes idle connections at usableIdleShare of that time. Harm: a target that is used so seldom needs a new
-	// connection.
+	// initiator closes idle connections at usableIdleShare of that time. Harm: a target that is used so seldom needs a
+	// new connection.
 	usableIdleShare = 0.75
-	// settleTime is how long a connection stays unused after an answer. Anything a target sends beyond its answer follows
-	// right behind it, a second answer some milliseconds later, according to the operators. It cannot be told from the
-	// answer to a request that was written in the meantime. Harm: a request that comes sooner needs a new connection.
+	// settleTime is how long a connection stays unused after an answer. Anything a target sends beyond its answer
+	// follows right behind it, a second answer some milliseconds later, according to the operators. It cannot be told
+	// from the answer to a request that was written in the meantime. Harm: a request that comes sooner needs a new
+	// connection.
 	settleTime = 20 * ms
 
 	// Some targets, or the devices in front of them, drop connections long before the configured time and show it only
-	// to the next request. The set therefore records the outcomes of requests on reused connections by how long these had
-	// been idle; connections of an age class with more than maxLossShare losses, and at least minLosses, are not used.
-	// Records lose half of their weight within lossHalfLife, so that an age class is tried again. In a trace 40% of the
-	// connections idle for 0.2 to 0.5 s were reset, and 9% of younger ones, as of new ones. Harm: new connections where
-	// reused ones would have worked.
+	// to the next request. The set therefore records the outcomes of requests on reused connections by how long these
+	// had been idle; connections of an age class with more than maxLossShare losses, and at least minLosses, are not
+	// used. Records lose half of their weight within lossHalfLife, so that an age class is tried again. In a trace 40%
+	// of the connections idle for 0.2 to 0.5 s were reset, and 9% of younger ones, as of new ones. Harm: new
+	// connections where reused ones would have worked.
 	maxLossShare = 0.2
 	minLosses    = 3.0
 	lossHalfLife = 10 * 1000 * ms
@@ -70,8 +71,8 @@
 	Most                                          int
 }
 
-// New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together. Targets
-// close a connection that was idle for the given time.
+// New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together.
+// Targets close a connection that was idle for the given time.
 func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Set {
 	return &Set{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Line{}}
 }
@@ -125,8 +126,8 @@
 	return record.lost < minLosses || record.lost <= maxLossShare*record.total
 }
 
-// Dial reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest, which
-// the caller must close; ok is false if no connection is idle.
+// Dial reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest,
+// which the caller must close; ok is false if no connection is idle.
 func (s *Set) Dial() (evicted *Line, ok bool) {
 	if s.open >= s.maxOpen {
 		for _, list := range s.idleLines {
