--- a/links/links.go
+++ b/links/links.go
@@ -1,7 +1,7 @@
-// Package links decides on the connections to one storage node: when it is dialled again after it could not
-// be reached or broke, when a connection that still stands is given up as dead, how many answers that belong to
-// nothing are borne, and which of its queues takes the next command. Package logic decides on requests; it hears
-// of what is decided here as attempts that could not connect or were reset.
+// Package links manages the connections to one storage node: when the node is dialled again after it could not be
+// reached or its connection broke, when a connection that is still open is given up as dead, how many answers without a
+// command are tolerated, and which queue takes the next command. Package logic schedules the requests; it learns of
+// these decisions through attempts that could not connect or were reset.
 //
 // It has no clock, goroutine or I/O.
 package links
@@ -15,121 +15,125 @@
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// A node that could not be reached is dialled again after firstPause, doubling to mostPause, each drawn at
-	// random from its upper half so that gateways that lost a node together do not come back together. Logic
-	// leaves a node alone for up to 1.6 s after failed connections, so a longer pause would only add to that.
-	firstPause = 50 * ms
-	mostPause  = 1600 * ms
-	// steady is how long a connection must have stood for the pauses to begin anew; one that breaks sooner counts
-	// as another failure, or a node that takes connections and drops them would be dialled in a tight loop.
-	steady = 2 * sec
-	// strayMost answers to nothing within strayTime are borne: a node that answers twice is a nuisance, and
-	// breaking the connection would lose all that is out there. More say that its and our ids have parted ways.
-	// Harm: a node whose every answer comes twice is cut off each time it has answered strayMost times.
-	strayMost = 64
-	strayTime = 10 * sec
-	// An id whose answer never came stays taken. When lost ids fill lostPart of the places, or one is older than
-	// lostOld, the connection is made anew: a node that swallows answers would else starve its own queue. Harm:
-	// what else is out at the node is reset, once in lostOld at most.
-	lostPart = 0.5
-	lostOld  = 30 * sec
-	// A node from which nothing at all was heard for silentParts of the keep-alive time is dead: the keep-alive
-	// goes out at half of it, so one answer may be lost.
-	silentParts = 1.0
+	// A node that could not be reached is dialled again after a backoff from minBackoff, doubling up to maxBackoff.
+	// Each backoff is drawn at random from its upper half, so that gateways that lost a node together do not reconnect
+	// together. Package logic does not use a node for up to 1.6 s after failed connections; a longer backoff would only
+	// add to that.
+	minBackoff = 50 * ms
+	maxBackoff = 1600 * ms
+	// stableAfter is how long a connection must have been up for the backoff to start again from its minimum. One that
+	// breaks sooner counts as another failure; otherwise a node that accepts connections and drops them would be
+	// dialled in a tight loop.
+	stableAfter = 2 * sec
+	// Up to maxStrays answers without a command are tolerated within strayWindow: a node that answers twice does little
+	// damage, and closing the connection would lose every command in flight there. More of them show that the command
+	// ids of the two sides no longer match. Harm: a node that sends every answer twice is disconnected each time it has
+	// answered maxStrays times.
+	maxStrays   = 64
+	strayWindow = 10 * sec
+	// An id stays taken until its answer arrives. When lost ids take maxLostShare of the queue's ids, or one is older
+	// than maxLostAge, the connection is replaced: a node that drops answers would otherwise use up its own queue.
+	// Harm: the other commands in flight at the node are reset, at most once in maxLostAge.
+	maxLostShare = 0.5
+	maxLostAge   = 30 * sec
+	// A node that has sent nothing for maxSilence, in keep-alive times, is dead. Keep-alives are sent every half of the
+	// keep-alive time, so that one answer may be lost.
+	maxSilence = 1.0
 )
 
-// Link is what is known of the connections to one node.
+// Link tracks the connections to one node.
 type Link struct {
-	rng       *rand.Rand
-	keepAlive logic.Micros
-	fails     int
-	up        bool
-	since     logic.Micros
-	heard     logic.Micros
-	next      logic.Micros
-	strays    []logic.Micros
+	rng          *rand.Rand
+	keepAlive    logic.Micros
+	failures     int
+	connected    bool
+	connectedAt  logic.Micros
+	lastReceived logic.Micros
+	dialAt       logic.Micros
+	strays       []logic.Micros
 }
 
-// New starts with a node that may be dialled at once. The keep-alive time is the one told to the node.
+// New returns the Link of a node that may be dialled at once. keepAlive is the keep-alive time announced to the node.
 func New(keepAlive logic.Micros, seed uint64) *Link {
 	return &Link{rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), keepAlive: keepAlive}
 }
 
-// DialAt is when the node may be dialled next.
-func (l *Link) DialAt() logic.Micros { return l.next }
+// DialAt returns the earliest time of the next dial.
+func (l *Link) DialAt() logic.Micros { return l.dialAt }
 
-// Up says that the connection is set up and takes commands.
+// Up records that the connection is set up and takes commands.
 func (l *Link) Up(now logic.Micros) {
-	l.up, l.since, l.heard, l.strays = true, now, now, l.strays[:0]
+	l.connected, l.connectedAt, l.lastReceived, l.strays = true, now, now, l.strays[:0]
 }
 
-// Down says that the node could not be reached or that the connection is gone; it gives the time to dial again.
+// Down records that the node could not be reached or that the connection is gone, and returns the time of the next
+// dial.
 func (l *Link) Down(now logic.Micros) logic.Micros {
-	if l.up && now-l.since >= steady {
-		l.fails = 0
+	if l.connected && now-l.connectedAt >= stableAfter {
+		l.failures = 0
 	}
-	l.up = false
-	pause := min(firstPause<<min(l.fails, 10), mostPause)
-	l.fails++
-	l.next = now + pause/2 + logic.Micros(l.rng.Int64N(int64(pause/2)+1))
-	return l.next
+	l.connected = false
+	backoff := min(minBackoff<<min(l.failures, 10), maxBackoff)
+	l.failures++
+	l.dialAt = now + backoff/2 + logic.Micros(l.rng.Int64N(int64(backoff/2)+1))
+	return l.dialAt
 }
 
-// Heard says that something came from the node.
-func (l *Link) Heard(now logic.Micros) { l.heard = now }
+// Heard records that something was received from the node.
+func (l *Link) Heard(now logic.Micros) { l.lastReceived = now }
 
-// Stray takes an answer that belongs to no command; it tells whether the connection must be given up.
+// Stray records an answer that belongs to no command and reports whether the connection must be given up.
 func (l *Link) Stray(now logic.Micros) (giveUp bool) {
-	keep := l.strays[:0]
+	recent := l.strays[:0]
 	for _, at := range l.strays {
-		if now-at < strayTime {
-			keep = append(keep, at)
+		if now-at < strayWindow {
+			recent = append(recent, at)
 		}
 	}
-	l.strays = append(keep, now)
-	return len(l.strays) > strayMost
+	l.strays = append(recent, now)
+	return len(l.strays) > maxStrays
 }
 
-// Lost is the state of the ids whose answers are not waited for any more: how many of how many places they
-// take, and when the oldest was sent; 0: none.
+// Lost describes the command ids whose answers are no longer waited for: how many ids the queue has, how many of them
+// are lost, and when the oldest of those was sent; 0: none.
 type Lost struct {
 	Places, Taken int
 	Oldest        logic.Micros
 }
 
-// Verdict says why a connection is given up; empty: it is not.
+// Verdict is the reason to give a connection up; it is empty if the connection stays.
 type Verdict string
 
-// Look is asked now and then, at the latest at the time it gave before.
-func (l *Link) Look(now logic.Micros, lost Lost) (v Verdict, next logic.Micros) {
-	if !l.up {
+// Look checks the connection. It must be called again no later than at the time it returns.
+func (l *Link) Look(now logic.Micros, lost Lost) (verdict Verdict, next logic.Micros) {
+	if !l.connected {
 		return "", now + sec
 	}
-	silent := logic.Micros(float64(l.keepAlive) * silentParts)
+	silenceLimit := logic.Micros(float64(l.keepAlive) * maxSilence)
 	switch {
-	case l.keepAlive > 0 && now-l.heard >= silent:
+	case l.keepAlive > 0 && now-l.lastReceived >= silenceLimit:
 		return "nothing was heard for the keep-alive time", 0
-	case lost.Taken > 0 && float64(lost.Taken) >= lostPart*float64(lost.Places):
+	case lost.Taken > 0 && float64(lost.Taken) >= maxLostShare*float64(lost.Places):
 		return "commands without an answer take half of the queue", 0
-	case lost.Oldest > 0 && now-lost.Oldest >= lostOld:
+	case lost.Oldest > 0 && now-lost.Oldest >= maxLostAge:
 		return "a command has had no answer for too long", 0
 	}
 	next = now + sec
 	if l.keepAlive > 0 {
-		next = min(next, l.heard+silent)
+		next = min(next, l.lastReceived+silenceLimit)
 	}
 	return "", next
 }
 
-// KeepAlive is when the next keep-alive goes out, after one at the given time.
+// KeepAlive returns when the next keep-alive is due after one that was sent at the given time.
 func (l *Link) KeepAlive(last logic.Micros) logic.Micros { return last + l.keepAlive/2 }
 
-// Pick chooses the queue for a command by what each has out and how many it takes: the emptiest; -1: all are
-// full. Equal ones are taken in the order of their numbers, so that a quiet node uses one connection.
-func Pick(out []int, depth int) int {
+// Pick chooses the queue for a command: the one with the fewest commands in flight, below the given depth; -1 if all
+// are full. Of equal queues the lowest number wins, so that a quiet node uses one connection.
+func Pick(inFlight []int, depth int) int {
 	best := -1
-	for i, n := range out {
-		if n < depth && (best < 0 || n < out[best]) {
+	for i, n := range inFlight {
+		if n < depth && (best < 0 || n < inFlight[best]) {
 			best = i
 		}
 	}
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A node that takes connections and drops them at once is not dialled in a tight loop, one that stood for long is
-// dialled soon, and all pauses stay between their bounds.
+// A node that accepts connections and drops them at once is not dialled in a tight loop, one that was connected for
+// long is dialled soon, and every backoff stays within its bounds.
 func TestPauses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(10*sec, rapid.Uint64().Draw(t, "seed"))
@@ -18,14 +18,14 @@
 			now = max(now, l.DialAt())
 			if rapid.Bool().Draw(t, "reached") {
 				l.Up(now)
-				stood := logic.Micros(rapid.IntRange(0, int(2*steady)).Draw(t, "stood"))
-				if now += stood; stood >= steady {
+				stood := logic.Micros(rapid.IntRange(0, int(2*stableAfter)).Draw(t, "stood"))
+				if now += stood; stood >= stableAfter {
 					fails = 0
 				}
 			}
-			want := min(firstPause<<min(fails, 10), mostPause)
+			want := min(minBackoff<<min(fails, 10), maxBackoff)
 			if p := l.Down(now) - now; p < want/2 || p > want {
-				t.Fatalf("pause of %d after %d failures, want %d to %d", p, fails, want/2, want)
+				t.Fatalf("backoff of %d after %d failures, want %d to %d", p, fails, want/2, want)
 			}
 			fails++
 		}
@@ -41,14 +41,14 @@
 		up   bool
 	}{
 		{9 * sec, Lost{}, true},
-		{10 * sec, Lost{}, false},                                    // silent
-		{sec, Lost{Places: 64, Taken: 31, Oldest: 1}, true},          // a few lost ids are borne
-		{sec, Lost{Places: 64, Taken: 32, Oldest: 1}, false},         // half of the queue
-		{9 * sec, Lost{Places: 64, Taken: 1, Oldest: 1}, true},       // one, for a while
-		{lostOld + 1, Lost{Places: 64, Taken: 1, Oldest: 1}, false},  // and too long
-		{lostOld, Lost{Places: 64, Taken: 1, Oldest: 2 * sec}, true}, // not yet
+		{10 * sec, Lost{}, false},                                       // silent
+		{sec, Lost{Places: 64, Taken: 31, Oldest: 1}, true},             // a few lost ids are tolerated
+		{sec, Lost{Places: 64, Taken: 32, Oldest: 1}, false},            // half of the queue
+		{9 * sec, Lost{Places: 64, Taken: 1, Oldest: 1}, true},          // one lost id, for a while
+		{maxLostAge + 1, Lost{Places: 64, Taken: 1, Oldest: 1}, false},  // one lost id for too long
+		{maxLostAge, Lost{Places: 64, Taken: 1, Oldest: 2 * sec}, true}, // not yet too long
 	} {
-		if l.heard = 0; c.now >= lostOld {
+		if l.lastReceived = 0; c.now >= maxLostAge {
 			l.Heard(c.now - 1)
 		}
 		v, next := l.Look(c.now, c.lost)
@@ -56,7 +56,7 @@
 			t.Errorf("at %d with %+v: %q", c.now, c.lost, v)
 		}
 		if v == "" && next <= c.now {
-			t.Errorf("at %d asks to be looked at again at %d", c.now, next)
+			t.Errorf("at %d wants the next look at %d", c.now, next)
 		}
 	}
 }
@@ -64,16 +64,16 @@
 func TestStrays(t *testing.T) {
 	l := New(0, 1)
 	l.Up(0)
-	for i := range strayMost {
+	for i := range maxStrays {
 		if l.Stray(logic.Micros(i)) {
 			t.Fatalf("gave up after %d", i+1)
 		}
 	}
-	if !l.Stray(strayMost) {
-		t.Error("bears any number of strays")
+	if !l.Stray(maxStrays) {
+		t.Error("tolerates any number of strays")
 	}
-	if l.Stray(strayTime + 2*strayMost) {
-		t.Error("strays of long ago still count")
+	if l.Stray(strayWindow + 2*maxStrays) {
+		t.Error("old strays still count")
 	}
 }
 
