--- a/bounds/bounds.go
+++ b/bounds/bounds.go
@@ -1,49 +1,49 @@
-// Package bounds decides how what a process of the platform is granted is shared out: descriptors between clients and
-// targets, memory between the heap and what peers may make it hold. It has no clock, goroutine or I/O.
+// Package bounds divides what a process of the platform is granted: descriptors between clients and targets, memory
+// between the heap and the data that peers can make the process hold. It has no clock, goroutine or I/O.
 //
-// It guards against peers of one kind using up what others need, and against a process that is killed for its memory.
-// It could harm where one kind of peer is rare: its share stays unused.
+// It guards against peers of one kind using up what others need, and against the process being killed for its memory
+// use. Harm: where one kind of peer is rare, its share stays unused.
 package bounds
 
 import "math"
 
 const (
-	// Clients' connections have clientPart of the descriptors, targets' targetPart; the rest is for the listener,
-	// discovery, logs, and connections that are being closed.
-	clientPart, targetPart = 0.5, 0.25
-	// The platform lets clients hold requestPart of the descriptors for requests: who asks beyond it finds no
-	// connection. Held requests leave spareRequests of that to those that come meanwhile.
-	requestPart, spareRequests = 1.0 / 3, 0.1
-	// The heap has heapPart of the memory. Bodies of requests that are held and answers that clients are slow to take
-	// have bodyPart, answers on their way in answerPart; both lie in the heap.
-	heapPart, bodyPart, answerPart = 0.6, 0.1, 0.2
+	// Client connections get clientShare of the descriptors, connections to targets targetShare. The rest is for the
+	// listener, discovery, logs, and connections that are being closed.
+	clientShare, targetShare = 0.5, 0.25
+	// The platform lets clients hold requestShare of the descriptors for requests; a client beyond that finds no
+	// connection. Held requests leave requestReserve of it free for requests that arrive in the meantime.
+	requestShare, requestReserve = 1.0 / 3, 0.1
+	// heapShare of the memory is for the heap, which includes bodyShare for the bodies of held requests and for answers
+	// that clients are slow to read, and answerShare for answers that are being received.
+	heapShare, bodyShare, answerShare = 0.6, 0.1, 0.2
 
-	defaultSockets, defaultMemory = 1024, 512 // where nothing is told; memory in MB
+	defaultSockets, defaultMemoryMB = 1024, 512 // where the platform states no limit
 )
 
-// Bounds is what each part may use.
+// Bounds holds the limits of the parts of a process.
 type Bounds struct {
-	Seats    int   // clients' connections
-	Requests int   // that may be held at once
+	Seats    int   // client connections
+	Requests int   // requests held at once
 	Lines    int   // connections to targets
-	Heap     int64 // bytes, as the others
+	Heap     int64 // in bytes, as Bodies and Answers
 	Bodies   int
 	Answers  int
-	Cores    int // threads that may run; 0: as the machine has
+	Cores    int // threads that may run; 0: as many as the machine has cores
 }
 
-// For shares out what is granted; 0: it is not told.
+// For returns the limits for the given grants; 0 means that a grant is not stated.
 func For(cores, memoryMB float64, sockets int) Bounds {
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
 	if memoryMB == 0 {
-		memoryMB = defaultMemory
+		memoryMB = defaultMemoryMB
 	}
-	n, memory := float64(sockets), memoryMB*(1<<20)
+	descriptors, memory := float64(sockets), memoryMB*(1<<20)
 	return Bounds{
-		Seats: int(clientPart * n), Requests: int((1 - spareRequests) * requestPart * n), Lines: int(targetPart * n),
-		Heap: int64(heapPart * memory), Bodies: int(bodyPart * memory), Answers: int(answerPart * memory),
+		Seats: int(clientShare * descriptors), Requests: int((1 - requestReserve) * requestShare * descriptors), Lines: int(targetShare * descriptors),
+		Heap: int64(heapShare * memory), Bodies: int(bodyShare * memory), Answers: int(answerShare * memory),
 		Cores: int(math.Ceil(cores)),
 	}
 }
--- a/bounds/bounds_test.go
+++ b/bounds/bounds_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Down to the least that the platform grants, every part can work, and together they leave something over.
+// With the smallest grants of the platform every part can work, and the shares together leave a remainder.
 func TestEveryPartFits(t *testing.T) {
 	const longest = 64 << 10 // a body or an answer
 	for _, sockets := range []int{256, 384, 1024} {
@@ -17,6 +17,6 @@
 		}
 	}
 	if b := For(0, 0, 0); b.Seats != defaultSockets/2 || b.Heap <= 0 || b.Cores != 0 {
-		t.Errorf("nothing told: %+v", b)
+		t.Errorf("no grants: %+v", b)
 	}
 }
