--- a/leave/leave.go
+++ b/leave/leave.go
@@ -1,8 +1,9 @@
-// Package leave decides how a process that was told to end goes on: for how long it still serves, how long a request
-// that comes meanwhile may take, and when it ends. It has no clock, goroutine or I/O.
+// Package leave controls the graceful shutdown of a process: for how long it still serves, how long a request that
+// arrives in the meantime may take, and when the process exits. It has no clock, goroutine or I/O.
 //
-// It guards against ending too early, which loses the requests of all clients that have nowhere else to go, and too
-// late, which loses what is held when the process is killed. It could harm where the killing comes sooner than told.
+// It guards against exiting too early, which loses the requests of all clients that have nowhere else to go, and too
+// late, which loses the held requests when the process is killed. Harm: requests are lost if the kill comes earlier
+// than announced.
 package leave
 
 import "appleplank/logic"
@@ -10,58 +11,57 @@
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// The process is killed no sooner than graceTime after the longest deadline, which counts as mostDeadline where
-	// it is longer.
-	mostDeadline = 3 * sec
-	graceTime    = 700 * ms
-	// Answers have left margin before that; a request must have leastRoom left to be begun at all.
-	margin    = 150 * ms
-	leastRoom = 60 * ms
-	// Connections may still come for coming: whoever has no client any more does not end before.
-	coming = 600 * ms
-	// LastLook is how long clients then have to read what was answered last, and to be told that what crossed the end
-	// of their connection was not taken. It fits into what margin leaves: a test adds them up.
+	// The process is killed no sooner than killGrace after the longest deadline, of which at most maxDeadline counts.
+	maxDeadline = 3 * sec
+	killGrace   = 700 * ms
+	// The last answer must be sent answerMargin before that. A request with less than minTimeLeft is not started.
+	answerMargin = 150 * ms
+	minTimeLeft  = 60 * ms
+	// New connections may still arrive for acceptTime; a process without clients does not exit before.
+	acceptTime = 600 * ms
+	// LastLook is how long clients then have to read the last answers and to learn that requests sent while their
+	// connection was being closed were not taken. It must fit into answerMargin; a test checks the sum.
 	LastLook = 40 * ms
 )
 
-// Leave is the state of an end; the zero value of begun says that none was told.
+// Leave is the state of a shutdown. startedAt is valid only once started is set.
 type Leave struct {
-	longest logic.Micros
-	begun   logic.Micros
-	told    bool
+	longest   logic.Micros // longest deadline of any request
+	startedAt logic.Micros
+	started   bool
 }
 
-// New starts with the longest deadline of any request.
-func New(longest logic.Micros) *Leave { return &Leave{longest: min(longest, mostDeadline)} }
+// New returns a Leave for requests with the given longest deadline.
+func New(longest logic.Micros) *Leave { return &Leave{longest: min(longest, maxDeadline)} }
 
-// Told says that the process is to end.
+// Told starts the shutdown; further calls have no effect.
 func (l *Leave) Told(now logic.Micros) {
-	if !l.told {
-		l.told, l.begun = true, now
+	if !l.started {
+		l.started, l.startedAt = true, now
 	}
 }
 
-// Till is when the last answer must have left.
-func (l *Leave) Till() logic.Micros { return l.begun + l.longest + graceTime - margin }
+// Till returns the time by which the last answer must be sent.
+func (l *Leave) Till() logic.Micros { return l.startedAt + l.longest + killGrace - answerMargin }
 
-// Room is the patience that a request that comes now is taken with, at most the given one; false: it must be refused,
-// and its connection closed.
-func (l *Leave) Room(now, patience logic.Micros) (logic.Micros, bool) {
-	if !l.told {
-		return patience, true
+// Room limits the time left of a request that arrives now. It returns false if the request must be refused and its
+// connection closed.
+func (l *Leave) Room(now, timeLeft logic.Micros) (logic.Micros, bool) {
+	if !l.started {
+		return timeLeft, true
 	}
-	room := l.Till() - now
-	return min(patience, room), room >= leastRoom
+	remaining := l.Till() - now
+	return min(timeLeft, remaining), remaining >= minTimeLeft
 }
 
-// Last tells whether a connection ends with its next answer: not before the end is near, as clients that lose theirs
-// have nowhere to go until the process is back.
-func (l *Leave) Last(now logic.Micros) bool { return l.told && now >= l.Till()-leastRoom }
+// Last reports whether a connection closes after its next answer. That is so only near the end, because clients that
+// lose their connection have nowhere to go until the process is back.
+func (l *Leave) Last(now logic.Micros) bool { return l.started && now >= l.Till()-minTimeLeft }
 
-// Over tells whether the process may end, by how many connections and requests it holds.
+// Over reports whether the process may exit, given the numbers of connections and requests that it still holds.
 func (l *Leave) Over(now logic.Micros, connections, requests int) bool {
-	if !l.told || now < l.begun+coming {
+	if !l.started || now < l.startedAt+acceptTime {
 		return false
 	}
-	return connections == 0 || now >= l.Till() && requests == 0 || now >= l.Till()+margin/2
+	return connections == 0 || now >= l.Till() && requests == 0 || now >= l.Till()+answerMargin/2
 }
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -9,48 +9,48 @@
 func TestLeave(t *testing.T) {
 	l := New(2500 * ms)
 	if p, ok := l.Room(5, 9*sec); p != 9*sec || !ok || l.Last(5) || l.Over(5, 0, 0) {
-		t.Fatal("nothing was told yet")
+		t.Fatal("limits before the shutdown has started")
 	}
 	l.Told(10 * sec)
-	l.Told(11 * sec) // once more changes nothing
-	till := 10*sec + 2500*ms + graceTime - margin
+	l.Told(11 * sec) // a second call has no effect
+	till := 10*sec + 2500*ms + killGrace - answerMargin
 	if p, ok := l.Room(10*sec, 2500*ms); p != 2500*ms || !ok {
-		t.Fatal("what comes at once has its whole time:", p)
+		t.Fatal("a request that arrives at once does not have its whole time:", p)
 	}
 	if p, ok := l.Room(till-sec, 2500*ms); p != sec || !ok {
-		t.Fatal("what comes late is answered before the kill:", p)
+		t.Fatal("a late request may be answered after the kill:", p)
 	}
-	if _, ok := l.Room(till-leastRoom+1, sec); ok {
-		t.Fatal("no room is left")
+	if _, ok := l.Room(till-minTimeLeft+1, sec); ok {
+		t.Fatal("accepted a request with too little time left")
 	}
-	if l.Last(till-sec) || !l.Last(till-leastRoom) {
-		t.Fatal("connections end when the end is near")
+	if l.Last(till-sec) || !l.Last(till-minTimeLeft) {
+		t.Fatal("connections must close near the end, and only then")
 	}
 	for _, c := range []struct {
 		at                    int64
 		connections, requests int
 		over                  bool
-	}{{0, 0, 0, false}, {int64(coming), 0, 0, true}, {int64(coming), 1, 0, false}, {int64(till - 10*sec), 1, 0, true},
-		{int64(till - 10*sec), 1, 1, false}, {int64(till - 10*sec + margin), 1, 1, true}} {
+	}{{0, 0, 0, false}, {int64(acceptTime), 0, 0, true}, {int64(acceptTime), 1, 0, false}, {int64(till - 10*sec), 1, 0, true},
+		{int64(till - 10*sec), 1, 1, false}, {int64(till - 10*sec + answerMargin), 1, 1, true}} {
 		if got := l.Over(10*sec+logic.Micros(c.at), c.connections, c.requests); got != c.over {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 	long := New(60 * sec)
 	long.Told(sec)
-	if p, ok := long.Room(sec, 60*sec); !ok || p >= mostDeadline+graceTime {
-		t.Fatal("longer deadlines do not put the kill off:", p)
+	if p, ok := long.Room(sec, 60*sec); !ok || p >= maxDeadline+killGrace {
+		t.Fatal("a longer deadline must not delay the kill:", p)
 	}
 }
 
-// The latest end and the last look at clients are over before the kill.
+// The latest exit and LastLook together end before the kill.
 func TestLastLookFits(t *testing.T) {
 	l := New(3 * sec)
 	l.Told(0)
 	end := logic.Micros(0)
 	for end = l.Till() - ms; !l.Over(end, 1, 1); end += ms {
 	}
-	if end+LastLook >= 3*sec+graceTime {
-		t.Fatalf("over at %d us, killed at %d", end+LastLook, 3*sec+graceTime)
+	if end+LastLook >= 3*sec+killGrace {
+		t.Fatalf("exits at %d us, killed at %d", end+LastLook, 3*sec+killGrace)
 	}
 }
