--- a/members/clock.go
+++ b/members/clock.go
@@ -2,20 +2,21 @@
 
 import "appleplank/logic"
 
-// startToldWithin is how late discovery may tell of a start, outages included. Harm: a target that is new in the list
-// after longer counts as cold once more.
-const startToldWithin = 60 * sec
+// startNewsDelay is the longest delay, outages included, with which discovery may report a start. Harm: a target that
+// appears in the list after a longer delay counts as cold once more.
+const startNewsDelay = 60 * sec
 
-// ownStart gives when a target counts as started by this machine's clock, which may have been set wrong, as the clock by
-// which the start was told may. A start is never in the future, and one that is told while the list is followed was a
-// moment ago: what cannot be so counts as started now, which spares the target. fresh: the start was not known before,
-// and the list has been followed since before it. 0, long ago, stays so.
-func ownStart(now, told logic.Micros, fresh bool) logic.Micros {
-	if told <= 0 {
+// localStart converts the reported start of a target to this machine's clock. This clock may be set wrong, and so may
+// the clock by which the start was reported. A start is never in the future, and one that is reported while the list is
+// followed happened a moment ago; any other value counts as started now, which protects the target as a cold one. isNew
+// is true if the start was not known before and the list has been followed since before that start. 0 means long
+// ago and stays 0.
+func localStart(now, reported logic.Micros, isNew bool) logic.Micros {
+	if reported <= 0 {
 		return 0
 	}
-	if told > now || fresh && now-told > startToldWithin {
+	if reported > now || isNew && now-reported > startNewsDelay {
 		return max(now, 1)
 	}
-	return told
+	return reported
 }
--- a/members/clock_test.go
+++ b/members/clock_test.go
@@ -6,19 +6,19 @@
 	"appleplank/logic"
 )
 
-// startedAt is a target whose start discovery tells by its own clock.
+// startedAt returns a target whose start discovery reports by its own clock.
 func startedAt(id uint32, at logic.Micros) Target {
 	t := target(id, logic.Ready)
 	t.Started = at
 	return t
 }
 
-// A start that is told while the list is followed was a moment ago, however far apart the clocks are.
+// A start that is reported while the list is followed happened a moment ago, however far apart the clocks are.
 func TestStartsWhereClocksAreApart(t *testing.T) {
 	const now, hour, late = 100_000 * sec, 3600 * sec, 3 * sec
 	for name, c := range map[string]struct {
-		ahead    logic.Micros // of this machine's clock
-		earliest logic.Micros // by it, that the start may count for
+		ahead    logic.Micros // offset of this machine's clock
+		earliest logic.Micros // earliest start that is accepted, by this machine's clock
 	}{
 		"alike":        {0, now - late},
 		"hour ahead":   {hour, now - late},
@@ -40,21 +40,21 @@
 				}
 			}
 			if !found {
-				t.Fatal("the change is not told")
+				t.Fatal("the change is not reported")
 			}
 			for _, x := range f.Targets() {
 				if x.ID == 2 && x.Started != 0 {
-					t.Errorf("one of long ago counts as started at %d", x.Started)
+					t.Errorf("a start long ago counts as started at %d", x.Started)
 				}
 				if want := min(old.Started, now-10*sec); x.ID == 1 && x.Started != want {
-					t.Errorf("one of the first list counts as started %d us from %d", x.Started-want, want)
+					t.Errorf("a target of the first list counts as started %d us from %d", x.Started-want, want)
 				}
 			}
 		})
 	}
 }
 
-// Clocks that agree leave starts as they are told, late news too.
+// Clocks that agree leave starts as they are reported, even when they are reported late.
 func TestStartsWhereClocksAgree(t *testing.T) {
 	const now = 100_000 * sec
 	f, _ := NewFollow(now-20*sec, News{Targets: []Target{startedAt(1, now-30*sec)}})
@@ -63,12 +63,12 @@
 	want := map[logic.NodeID]logic.Micros{1: now - 30*sec, 2: now - 500*sec, 3: now - 20*sec, 4: now - sec}
 	for _, x := range f.Targets() {
 		if x.Started != want[x.ID] {
-			t.Errorf("target %d counts as started %d us from what was told", x.ID, x.Started-want[x.ID])
+			t.Errorf("target %d counts as started %d us from what was reported", x.ID, x.Started-want[x.ID])
 		}
 	}
 }
 
-// A start that cannot be, as by a target's own wrong clock, counts for that target alone.
+// An impossible start, for example by a target's own wrong clock, affects that target alone.
 func TestWrongStartIsOneTargetsOwn(t *testing.T) {
 	const now = 100_000 * sec
 	for name, wrong := range map[string]logic.Micros{"ahead": now + 3600*sec, "behind": now - 3600*sec} {
@@ -79,12 +79,12 @@
 			t.Errorf("%s: %+v", name, changed)
 		}
 		if changed, _, _ := f.Told(now+sec, News{Revision: 3, Targets: []Target{startedAt(2, wrong)}}, false); len(changed) != 0 {
-			t.Errorf("%s: told again, it has changed: %+v", name, changed)
+			t.Errorf("%s: reported again, it has changed: %+v", name, changed)
 		}
 	}
 }
 
-// A target that comes back into the list while it is remembered has not started anew.
+// A target that returns to the list while its entry is kept has not restarted.
 func TestReturnedTargetHasNotStartedAnew(t *testing.T) {
 	const now = 100_000 * sec
 	f, _ := NewFollow(now-20*sec, News{})
--- a/members/follow.go
+++ b/members/follow.go
@@ -15,118 +15,122 @@
 	Address string
 }
 
-// News is a list of targets, or of changes to one.
+// News is a full list of targets, or a list of changed targets.
 type News struct {
 	Revision uint64
-	Complete bool // the whole list
+	Complete bool // a full list
 	Targets  []Target
 }
 
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// A change must act toldBy after discovery had it and could be reached, whatever failed before. Discovery answers
-	// at once and then sends something every heartbeat: a call without an answer for answerBy, or a watch that missed
-	// two heartbeats, is taken for cut off and asked for anew. With the longest pause and an answer of the call after
-	// it, each way stays within toldBy; a test adds them up. Harm: where discovery is down, its agent is asked again
-	// every few seconds.
-	toldBy      = 6 * sec
-	heartbeat   = 2 * sec
-	silentWatch = 2 * heartbeat
-	answerBy    = 1500 * ms
-	// After a watch that stood for steadyWatch a new one is asked for at once, after others with a pause that doubles:
-	// discovery that answers at once with what cannot be used would else be asked in a tight loop.
-	firstAsk, mostAsk = 50 * ms, 400 * ms
-	steadyWatch       = 2 * sec
-	// goneFor is how long a target that is gone is remembered: news that was overtaken may still name it.
-	goneFor = 60 * sec
+	// A change must take effect within maxNewsDelay of being known to a reachable discovery, whatever failed before.
+	// Discovery answers at once and then sends something every heartbeat: a call without an answer for callTimeout, or
+	// a watch that missed two heartbeats, counts as disconnected and is repeated. Together with the longest retry delay
+	// and the time for the answer of the next call, each case stays within maxNewsDelay; a test checks the sums. Harm:
+	// while discovery is down, its agent is asked again every few seconds.
+	maxNewsDelay = 6 * sec
+	heartbeat    = 2 * sec
+	watchTimeout = 2 * heartbeat
+	callTimeout  = 1500 * ms
+	// A watch that lasted for stableAfter is renewed at once, others after a delay that doubles; otherwise a discovery
+	// that always answers with unusable data would be asked in a tight loop.
+	minRetryDelay, maxRetryDelay = 50 * ms, 400 * ms
+	stableAfter                  = 2 * sec
+	// tombstoneTime is how long the entry of a removed target is kept: delayed news may still name it.
+	tombstoneTime = 60 * sec
 )
 
-// Follow decides what a list of targets and the changes to it that a watch tells come to: what is taken, when the
-// whole list is asked for anew, and when a watch is given up. It has no clock, goroutine or I/O.
+// Follow applies lists of targets, and the changes to them that a watch delivers: it decides what is taken, when the
+// full list is requested again, and when a watch is given up. It has no clock, goroutine or I/O.
 type Follow struct {
-	targets  map[string]*followed
-	revision uint64
-	whole    bool // something is missing: the whole list must be asked for
-	fails    int
-	told     int  // the address, counted in the order of their use, that has told something last
-	heard    bool // discovery has told a list that was taken
+	targets       map[string]*followed
+	revision      uint64
+	needsFullList bool // a change is missing, so the full list must be requested
+	failures      int
+	newestUse     int  // number of the newest discovery address, in order of use, that has delivered anything
+	listTaken     bool // a list from discovery was taken
 }
 
 type followed struct {
 	Target
-	began logic.Micros // its start as told; Target has it by this machine's clock
-	gone  logic.Micros // since when; 0: it is not
+	reportedStart logic.Micros // start as reported; Target holds it by this machine's clock
+	goneAt        logic.Micros // when the target was removed; 0: it is in use
 }
 
-// NewFollow starts with the list as it was last held.
+// NewFollow starts with the last known list and returns the nodes in it.
 func NewFollow(now logic.Micros, known News) (*Follow, []logic.Node) {
 	f := &Follow{targets: map[string]*followed{}, revision: known.Revision}
 	return f, f.apply(now, known)
 }
 
-// Ask is what to ask for next: the whole list, or changes after a revision.
-func (f *Follow) Ask() (whole bool, after uint64) { return f.whole, f.revision }
+// Ask returns what to request next: the full list, or the changes after a revision.
+func (f *Follow) Ask() (whole bool, after uint64) { return f.needsFullList, f.revision }
 
-// SilentAt is when a call that was begun at the given time is to be given up, if nothing more is heard of it; what was
-// last heard, be it an empty line, came at the other; 0: nothing yet.
+// SilentAt returns when a call that began at the given time is to be given up if nothing more is received. heard is
+// when something, possibly an empty line, was last received; 0: nothing yet.
 func SilentAt(begun, heard logic.Micros) logic.Micros {
 	if heard == 0 {
-		return begun + answerBy
+		return begun + callTimeout
 	}
-	return heard + silentWatch
+	return heard + watchTimeout
 }
 
-// Ended says that a watch begun at the given time has ended or did not come up; it gives the pause before the next.
-func (f *Follow) Ended(now, begun logic.Micros) (pause logic.Micros) {
-	if now-begun >= steadyWatch {
-		f.fails = 0
+// Ended records that a watch that began at the given time has ended or could not be set up. It returns the delay before
+// the next one.
+func (f *Follow) Ended(now, begun logic.Micros) (delay logic.Micros) {
+	if now-begun >= stableAfter {
+		f.failures = 0
 	}
-	if f.fails > 0 {
-		pause = min(firstAsk<<min(f.fails-1, 10), mostAsk)
+	if f.failures > 0 {
+		delay = min(minRetryDelay<<min(f.failures-1, 10), maxRetryDelay)
 	}
-	f.fails++
-	return pause
+	f.failures++
+	return delay
 }
 
-// Counts tells whether what is told at the use-th address counts: a watch that was followed by another does not undo
-// what that one has told, as its list may be older. Harm: none is asked of the old address any more once the new one tells.
-func (f *Follow) Counts(use int) bool { return use >= f.told }
+// Counts reports whether data from the use-th address is still taken. A watch that was replaced by a newer one must not
+// undo what the newer one has delivered, since its list may be older. Harm: the old address is not used any more once
+// the new one delivers.
+func (f *Follow) Counts(use int) bool { return use >= f.newestUse }
 
-// From notes that the use-th address has told something that can be read.
-func (f *Follow) From(use int) { f.told = max(f.told, use) }
+// From records that the use-th address has delivered readable data.
+func (f *Follow) From(use int) { f.newestUse = max(f.newestUse, use) }
 
-// Unread says that something could not be read: what it would have told is missing.
-func (f *Follow) Unread() { f.whole = true }
+// Unread records that something could not be read, so that a change is missing.
+func (f *Follow) Unread() { f.needsFullList = true }
 
-// Told takes what the watch tells; first: it is the first that this watch tells. It gives what has changed, whether
-// the watch must be given up to ask anew, and a complaint of what is not taken.
+// Told applies what a watch has delivered; first is true for the first delivery of this watch. It returns the nodes
+// that have changed, whether the watch must be given up to request the list again, and a complaint about what was
+// ignored.
 func (f *Follow) Told(now logic.Micros, n News, first bool) (changed []logic.Node, again bool, complaint error) {
 	switch {
 	case n.Complete:
-		// A whole list stands for itself, also one that counts from a new beginning. One that names no target is a
-		// directory that lost its memory: taken at its word it would stop all work. Changes go on from it all the same.
-		f.whole, f.revision = false, n.Revision
-		if len(n.Targets) == 0 && f.live() > 0 {
+		// A full list needs no earlier state, even if its revisions start again. A full list without targets comes from
+		// a discovery that has lost its state; taking it would stop all work. Later changes still build on its
+		// revision.
+		f.needsFullList, f.revision = false, n.Revision
+		if len(n.Targets) == 0 && f.countLive() > 0 {
 			return nil, false, fmt.Errorf("discovery names no target; the last list stands")
 		}
 	case n.Revision < f.revision:
-		// Discovery counts anew, at the beginning of a watch or in the middle of one: what it held before is not told,
-		// so changes alone would leave targets in use that drain or are gone.
-		f.whole = true
+		// Discovery counts from the beginning again, at the start of a watch or during one. What it held before is
+		// unknown, so that changes alone would leave targets in use that are draining or gone.
+		f.needsFullList = true
 		return nil, true, nil
 	case n.Revision == f.revision && !first:
-		return nil, false, nil // told twice
+		return nil, false, nil // a repeated delivery
 	}
 	f.revision = n.Revision
-	n.Targets, complaint = f.apart(n.Targets)
+	n.Targets, complaint = f.withoutDuplicateIDs(n.Targets)
 	changed = f.apply(now, n)
-	f.heard = true
+	f.listTaken = true
 	return changed, false, complaint
 }
 
-// apart leaves out what bears the number of another target: logic could not tell them apart.
-func (f *Follow) apart(list []Target) (kept []Target, complaint error) {
+// withoutDuplicateIDs drops targets with the id of another target, which package logic could not distinguish.
+func (f *Follow) withoutDuplicateIDs(list []Target) (kept []Target, complaint error) {
 	names := map[logic.NodeID]string{}
 	for name, t := range f.targets {
 		if t.State != logic.Gone {
@@ -135,7 +139,7 @@
 	}
 	for _, t := range list {
 		if other, ok := names[t.ID]; ok && other != t.Name {
-			complaint = fmt.Errorf("discovery names %q and %q, which cannot be told apart; the first is kept", other, t.Name)
+			complaint = fmt.Errorf("discovery names %q and %q with the same id; the first is kept", other, t.Name)
 			continue
 		}
 		names[t.ID] = t.Name
@@ -144,7 +148,7 @@
 	return kept, complaint
 }
 
-func (f *Follow) live() (n int) {
+func (f *Follow) countLive() (n int) {
 	for _, t := range f.targets {
 		if t.State != logic.Gone {
 			n++
@@ -153,7 +157,7 @@
 	return n
 }
 
-// apply takes the entries, and gives what has changed by them, in order of ids.
+// apply merges the entries and returns the nodes that have changed by them, ordered by id.
 func (f *Follow) apply(now logic.Micros, n News) (changed []logic.Node) {
 	if n.Complete {
 		named := map[string]bool{}
@@ -162,38 +166,38 @@
 		}
 		for name, t := range f.targets {
 			if !named[name] && t.State != logic.Gone {
-				t.State, t.gone = logic.Gone, now
+				t.State, t.goneAt = logic.Gone, now
 				changed = append(changed, t.Node)
 			}
 		}
 	}
 	for _, x := range n.Targets {
-		began := x.Started
-		t, held := f.targets[x.Name]
-		if !held {
+		reportedStart := x.Started
+		t, known := f.targets[x.Name]
+		if !known {
 			if x.State == logic.Gone {
 				continue
 			}
 			t = &followed{}
 			f.targets[x.Name] = t
 		}
-		if held && began == t.began {
+		if known && reportedStart == t.reportedStart {
 			x.Started = t.Started
 		} else {
-			x.Started = ownStart(now, began, f.heard)
+			x.Started = localStart(now, reportedStart, f.listTaken)
 		}
-		if held && t.Node == x.Node && t.Address == cmp.Or(x.Address, t.Address) {
+		if known && t.Node == x.Node && t.Address == cmp.Or(x.Address, t.Address) {
 			continue
 		}
 		x.Address = cmp.Or(x.Address, t.Address)
-		t.Target, t.began, t.gone = x, began, 0
+		t.Target, t.reportedStart, t.goneAt = x, reportedStart, 0
 		if x.State == logic.Gone {
-			t.gone = now
+			t.goneAt = now
 		}
 		changed = append(changed, x.Node)
 	}
 	for name, t := range f.targets {
-		if t.gone > 0 && now-t.gone > goneFor {
+		if t.goneAt > 0 && now-t.goneAt > tombstoneTime {
 			delete(f.targets, name)
 		}
 	}
@@ -201,7 +205,7 @@
 	return changed
 }
 
-// Targets gives all that are held, by id.
+// Targets returns all known targets, ordered by id.
 func (f *Follow) Targets() (out []Target) {
 	for _, t := range f.targets {
 		out = append(out, t.Target)
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -11,7 +11,7 @@
 	return Target{Node: logic.Node{ID: logic.NodeID(id), State: state}, Name: fmt.Sprint("t", id), Address: fmt.Sprint("10.0.0.", id, ":1")}
 }
 
-// told expects the targets that change, in order of ids; none: nothing does.
+// told delivers the news and expects exactly the given targets to change, in order of ids.
 func told(t *testing.T, f *Follow, n News, first bool, changed ...logic.NodeID) {
 	t.Helper()
 	nodes, again, err := f.Told(1*sec, n, first)
@@ -40,24 +40,24 @@
 		t.Fatal(first, whole, after)
 	}
 	told(t, f, News{Revision: 43, Targets: []Target{target(2, logic.Draining), target(3, logic.Ready)}}, true, 2, 3)
-	told(t, f, News{Revision: 43, Targets: []Target{target(2, logic.Ready)}}, false) // told twice
+	told(t, f, News{Revision: 43, Targets: []Target{target(2, logic.Ready)}}, false) // a repeated delivery
 	told(t, f, News{Revision: 44, Targets: []Target{target(2, logic.Gone)}}, false, 2)
 	if address(f, 2) != "" || address(f, 3) != "10.0.0.3:1" {
-		t.Fatal("addresses")
+		t.Fatal("wrong addresses")
 	}
-	// A whole list says by what is missing that it is gone.
+	// Targets missing from a full list are removed.
 	told(t, f, News{Revision: 50, Complete: true, Targets: []Target{target(3, logic.Ready), target(4, logic.Ready)}}, true, 1, 4)
-	// An address that changes is news, though nothing else does.
+	// A changed address alone is a change.
 	moved := target(3, logic.Ready)
 	moved.Address = "10.9.9.9:1"
 	told(t, f, News{Revision: 51, Targets: []Target{moved}}, false, 3)
 	if address(f, 3) != "10.9.9.9:1" {
-		t.Fatal("moved")
+		t.Fatal("the address has not changed")
 	}
 }
 
-// Changes alone from a discovery that counts anew would leave targets that nobody names any more in use, whether it
-// does so at the beginning of a watch or in the middle of one.
+// After discovery has counted from the beginning again, changes alone would leave targets in use that are no longer
+// listed, whether that happens at the start of a watch or during one.
 func TestDiscoveryCountsAnew(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		f, _ := NewFollow(0, News{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
@@ -76,21 +76,21 @@
 func TestEmptyAndDoubled(t *testing.T) {
 	f, _ := NewFollow(0, News{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready)}})
 	if changed, again, err := f.Told(0, News{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
-		t.Fatal("an empty list stops all work")
+		t.Fatal("an empty list must change nothing and must be complained about")
 	}
-	told(t, f, News{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // and changes go on from it
+	told(t, f, News{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // later changes build on its revision
 	other := Target{Node: target(2, logic.Ready).Node, Name: "other"}
 	changed, again, err := f.Told(0, News{Revision: 5, Targets: []Target{other, target(1, logic.Draining)}}, false)
 	if again || err == nil || len(changed) != 1 || changed[0].ID != 1 {
-		t.Fatal("one that cannot be told apart keeps others from being told:", changed, again, err)
+		t.Fatal("a target with a duplicate id must not block others:", changed, again, err)
 	}
 	f.Unread()
 	if whole, _ := f.Ask(); !whole {
-		t.Fatal("what was not read is missing")
+		t.Fatal("unread data must lead to a request for the full list")
 	}
 }
 
-// Targets replaced by new ones for ever leave nothing behind.
+// An endless replacement of targets does not grow the table.
 func TestReplacedTargetsAreForgotten(t *testing.T) {
 	f, _ := NewFollow(0, News{})
 	now := logic.Micros(0)
@@ -107,42 +107,42 @@
 	}
 }
 
-// Of the addresses of discovery the newest that has told something counts, and those after it.
+// Data counts only from the newest discovery address that has delivered anything, and from later ones.
 func TestLateListOfAnOldAddress(t *testing.T) {
 	f, _ := NewFollow(0, News{})
 	if f.From(1); !f.Counts(1) || !f.Counts(2) {
-		t.Fatal("the old address counts until the new one has told something")
+		t.Fatal("the old address must count until the new one has delivered something")
 	}
 	f.From(3)
 	f.From(2)
 	if f.Counts(1) || f.Counts(2) || !f.Counts(3) {
-		t.Fatal("an old address undoes what a newer one has told")
+		t.Fatal("an old address overrides a newer one")
 	}
 }
 
 func TestSilenceAndPauses(t *testing.T) {
 	f, _ := NewFollow(0, News{})
-	if at := SilentAt(19*sec, 0); at != 19*sec+answerBy {
-		t.Fatal("a call that was never answered:", at)
+	if at := SilentAt(19*sec, 0); at != 19*sec+callTimeout {
+		t.Fatal("wrong timeout of a call without an answer:", at)
 	}
-	if at := SilentAt(0, 10*sec); at != 10*sec+silentWatch {
-		t.Fatal("a watch that fell silent:", at)
+	if at := SilentAt(0, 10*sec); at != 10*sec+watchTimeout {
+		t.Fatal("wrong timeout of a silent watch:", at)
 	}
-	// Two empty lines may be late before a watch is given up, and whatever happens a change acts in time: a watch falls
-	// silent, or a call is begun just before discovery can be reached; the longest pause; a call that takes its time.
-	if silentWatch < 2*heartbeat || silentWatch+mostAsk+answerBy > toldBy || 2*answerBy+mostAsk > toldBy {
-		t.Fatal(silentWatch, mostAsk, answerBy)
+	// Two empty lines may be late before a watch is given up. Any change takes effect in time: a watch falls silent, or
+	// a call begins just before discovery can be reached, followed by the longest delay and a slow call.
+	if watchTimeout < 2*heartbeat || watchTimeout+maxRetryDelay+callTimeout > maxNewsDelay || 2*callTimeout+maxRetryDelay > maxNewsDelay {
+		t.Fatal(watchTimeout, maxRetryDelay, callTimeout)
 	}
-	// One that tells something that cannot be used, and ends, is not asked for in a tight loop.
+	// A watch that delivers something unusable and ends is not renewed in a tight loop.
 	last := logic.Micros(-1)
 	for i := range 20 {
 		p := f.Ended(20*sec, 20*sec-ms)
-		if (i == 0) != (p == 0) || p < last || p > mostAsk {
+		if (i == 0) != (p == 0) || p < last || p > maxRetryDelay {
 			t.Fatal(i, p)
 		}
 		last = p
 	}
 	if f.Ended(40*sec, 30*sec) != 0 {
-		t.Fatal("a watch that stood for long is asked for again at once")
+		t.Fatal("a watch that lasted long must be renewed at once")
 	}
 }
--- a/members/members.go
+++ b/members/members.go
@@ -1,11 +1,11 @@
-// Package members decides what a gateway believes of its storage nodes: which there are, whether they take work,
-// and when their processes started. It joins what the settings, the discovery log, the nodes' ANA log pages and
-// the connections tell into the node list that package logic is given.
+// Package members keeps the list of a gateway's storage nodes: which there are, whether they take work, and when their
+// processes started. It merges the settings, the discovery log, the nodes' ANA log pages and the state of the
+// connections into the node list that package logic receives. Type Follow does this for the platform's discovery.
 //
-// It guards against a directory that delivers late, repeats itself, flaps or loses its memory, and could harm
-// where nodes truly are taken out while their directory has just started: they stay in use until they fail.
+// It guards against a directory that delivers late, repeats itself, flaps or loses its state. Harm: nodes that are
+// taken out while their directory has just started stay in use until they fail.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// It has no clock, goroutine or I/O, and never depends on map order.
 package members
 
 import (
@@ -16,46 +16,46 @@
 	"appleplank/logic"
 )
 
-// Known is a node as the settings name it.
+// Known is a node as the settings describe it.
 type Known struct {
 	ID      logic.NodeID
 	NQN     string
-	Address string // from the settings; the directory's goes before it
+	Address string // from the settings; an address from the directory takes precedence
 	Zone    int
 	Cell    int
 	Rating  float64
 }
 
-// Entry is a node as the directory names it.
+// Entry is a node as the directory lists it.
 type Entry struct{ NQN, Address string }
 
-// Members is the state of belief.
+// Members is the current list of nodes.
 type Members struct {
-	nodes     []*node // by id
-	byNQN     map[string]*node
-	directory bool // one is used
-	listed    bool // and has given a list
-	session   int  // connection to the directory that gave it
-	gen       uint64
-	strangers map[string]bool
+	nodes        []*node // ordered by id
+	byNQN        map[string]*node
+	directory    bool // a directory is used
+	listed       bool // the directory has given a list
+	session      int  // connection to the directory that gave the list
+	generation   uint64
+	unknownNames map[string]bool
 }
 
 type node struct {
 	Known
-	now       string // address in use
-	listed    bool
-	draining  bool
-	started   logic.Micros
-	refusedAt logic.Micros // when its address last took no connection; 0: it did since
-	told      logic.Node
-	ever      bool
+	address      string // address in use
+	listed       bool
+	draining     bool
+	started      logic.Micros
+	refusedAt    logic.Micros // when a connection to its address last failed; 0: one has succeeded since
+	reported     logic.Node
+	everReported bool
 }
 
-// New starts from the settings. Where a directory is used no node is in use before the directory has named it.
+// New starts from the settings. With a directory no node is in use before the directory has listed it.
 func New(known []Known, directory bool) *Members {
-	m := &Members{byNQN: map[string]*node{}, directory: directory, strangers: map[string]bool{}}
+	m := &Members{byNQN: map[string]*node{}, directory: directory, unknownNames: map[string]bool{}}
 	for _, k := range known {
-		n := &node{Known: k, now: k.Address, listed: !directory}
+		n := &node{Known: k, address: k.Address, listed: !directory}
 		m.nodes = append(m.nodes, n)
 		m.byNQN[k.NQN] = n
 	}
@@ -63,55 +63,55 @@
 	return m
 }
 
-// Listed takes a discovery log page that came over the given connection, counted from one. It gives a complaint
-// where the page is not taken or names what nobody knows, else "".
-func (m *Members) Listed(session int, gen uint64, entries []Entry) (complaint string) {
-	// A page that names no node is a directory that has lost its memory, or a mistake: taken at its word, it
-	// would stop all work. The last list stands. Harm: the last node that is taken out stays in use.
+// Listed takes a discovery log page that arrived over the given connection; connections are counted from one. It
+// returns a complaint if the page is ignored or lists an unknown node, otherwise "".
+func (m *Members) Listed(session int, generation uint64, entries []Entry) (complaint string) {
+	// A page without nodes comes from a directory that has lost its state, or from a mistake; taking it would stop all
+	// work. The last list stays in use. Harm: the last node that is taken out stays in use.
 	if len(entries) == 0 {
 		return "the directory names no node; the last list stands"
 	}
-	// Pages of one connection that go backward were overtaken by newer ones. A new connection may be to a
-	// directory that was started anew and counts from the beginning.
-	if m.listed && session == m.session && gen < m.gen {
-		return fmt.Sprintf("the directory's list %d comes after %d; not taken", gen, m.gen)
+	// A page with a lower generation on the same connection was overtaken by newer ones. A new connection may lead to a
+	// directory that was restarted and counts from the beginning.
+	if m.listed && session == m.session && generation < m.generation {
+		return fmt.Sprintf("the directory's list %d comes after %d; ignored", generation, m.generation)
 	}
-	ours := 0
+	matched := 0
 	for _, e := range entries {
 		if m.byNQN[e.NQN] != nil {
-			ours++
-		} else if !m.strangers[e.NQN] {
-			m.strangers[e.NQN] = true
+			matched++
+		} else if !m.unknownNames[e.NQN] {
+			m.unknownNames[e.NQN] = true
 			complaint = fmt.Sprintf("the directory names %q, which no node of the settings is called", e.NQN)
 		}
 	}
-	if ours == 0 {
+	if matched == 0 {
 		return "the directory names none of the settings' nodes; the last list stands"
 	}
-	m.listed, m.session, m.gen = true, session, gen
+	m.listed, m.session, m.generation = true, session, generation
 	for _, n := range m.nodes {
 		n.listed = false
 	}
 	for _, e := range entries {
 		if n := m.byNQN[e.NQN]; n != nil {
 			n.listed = true
-			n.now = cmp.Or(e.Address, n.Address)
+			n.address = cmp.Or(e.Address, n.Address)
 		}
 	}
 	return complaint
 }
 
-// Listing tells whether a list of nodes is known: the settings', or one of the directory's.
+// Listing reports whether a node list is known, either from the settings or from the directory.
 func (m *Members) Listing() bool { return !m.directory || m.listed }
 
-// Refused says that a node's address took no connection.
+// Refused records that a connection to the node's address failed.
 func (m *Members) Refused(id logic.NodeID, now logic.Micros) {
 	if n := m.find(id); n != nil {
 		n.refusedAt = max(now, 1)
 	}
 }
 
-// Reached says that a node was connected to and what age its process tells; below zero: it does not.
+// Reached records a connection to a node and the age that its process reported; a negative age was not reported.
 func (m *Members) Reached(id logic.NodeID, now, age logic.Micros) {
 	n := m.find(id)
 	if n == nil {
@@ -119,31 +119,31 @@
 	}
 	switch {
 	case age >= 0:
-		// The told age is as old as the message; a start that moves by less is the same start.
-		if at := max(now-age, 1); at > n.started+sameStart || at < n.started-sameStart {
-			n.started = at
+		// The reported age is as old as the message; a start that moves by less than the tolerance is the same start.
+		if start := max(now-age, 1); start > n.started+startTolerance || start < n.started-startTolerance {
+			n.started = start
 		}
 	case n.refusedAt > 0:
-		// Nothing told, but it took no connections before: taken for a process that started just now, the guard
-		// of cold nodes holds. Harm: a node that was only cut off is treated as cold once.
+		// No age is reported, but connections failed before: the process counts as started now, so that the protection
+		// of cold nodes applies. Harm: a node that was only disconnected is treated as cold once.
 		n.started = max(now, 1)
 	}
 	n.refusedAt = 0
 }
 
-const sameStart logic.Micros = 500_000
+const startTolerance logic.Micros = 500_000
 
-// Draining says what a node's own ANA log page tells: whether any group that is used takes no new work.
-func (m *Members) Draining(id logic.NodeID, is bool) {
+// Draining records what a node's own ANA log page reports: whether any group in use takes no new work.
+func (m *Members) Draining(id logic.NodeID, draining bool) {
 	if n := m.find(id); n != nil {
-		n.draining = is
+		n.draining = draining
 	}
 }
 
-// Address is where a node is reached, "" where nobody has told.
+// Address returns the address of a node, or "" if none is known.
 func (m *Members) Address(id logic.NodeID) string {
 	if n := m.find(id); n != nil && n.listed {
-		return n.now
+		return n.address
 	}
 	return ""
 }
@@ -156,37 +156,37 @@
 	return m.nodes[i]
 }
 
-// News appends what has changed since it was last asked, by id.
+// News appends the nodes that have changed since the last call, ordered by id.
 func (m *Members) News(out []logic.Node) []logic.Node {
 	if m.directory && !m.listed {
 		return out
 	}
 	for _, n := range m.nodes {
-		t := logic.Node{ID: n.ID, Zone: n.Zone, Cell: n.Cell, Started: n.started, Rating: n.Rating, State: logic.Ready}
+		current := logic.Node{ID: n.ID, Zone: n.Zone, Cell: n.Cell, Started: n.started, Rating: n.Rating, State: logic.Ready}
 		switch {
 		case !n.listed:
-			t.State = logic.Gone
+			current.State = logic.Gone
 		case n.draining:
-			t.State = logic.Draining
+			current.State = logic.Draining
 		}
-		if n.ever && t == n.told || !n.ever && t.State == logic.Gone {
+		if n.everReported && current == n.reported || !n.everReported && current.State == logic.Gone {
 			continue
 		}
-		n.ever, n.told = true, t
-		out = append(out, t)
+		n.everReported, n.reported = true, current
+		out = append(out, current)
 	}
 	return out
 }
 
-// Memory is what is known of a node beyond its settings. Times are ages, as in [logic.Memory].
+// Memory is the stored knowledge about a node beyond its settings. Times are ages, as in [logic.Memory].
 type Memory struct {
 	ID      logic.NodeID
 	Started logic.Micros
 	Refused logic.Micros
-	Address string // the directory's
+	Address string // from the directory
 }
 
-// Memory copies what outlasts a restart, by id.
+// Memory returns what is kept over a restart, ordered by id.
 func (m *Members) Memory(now logic.Micros) (out []Memory) {
 	age := func(at logic.Micros) logic.Micros {
 		if at == 0 {
@@ -195,14 +195,14 @@
 		return now - at
 	}
 	for _, n := range m.nodes {
-		out = append(out, Memory{n.ID, age(n.started), age(n.refusedAt), n.now})
+		out = append(out, Memory{n.ID, age(n.started), age(n.refusedAt), n.address})
 	}
 	return out
 }
 
-// Remember gives back what an earlier process knew. A start that is remembered is only moved by one that differs, told
-// before or after, so that logic does not take a node it knows for a fresh one. Which nodes are there is not
-// remembered: the directory or the settings say so.
+// Remember restores what an earlier process knew. A restored start is replaced only by one that differs, whether that
+// was reported before or after, so that package logic does not take a known node for a new one. Which nodes are in use
+// is not restored: the directory or the settings decide that.
 func (m *Members) Remember(now logic.Micros, list []Memory) {
 	at := func(age logic.Micros) logic.Micros {
 		if age >= logic.Never/2 || age < 0 || now-age <= 0 {
@@ -215,7 +215,7 @@
 		if n == nil {
 			continue
 		}
-		if was := at(x.Started); n.started == 0 || was > n.started-sameStart && was < n.started+sameStart {
+		if was := at(x.Started); n.started == 0 || was > n.started-startTolerance && was < n.started+startTolerance {
 			n.started = was
 		}
 		n.refusedAt = cmp.Or(n.refusedAt, at(x.Refused))
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -7,7 +7,7 @@
 	"appleplank/logic"
 )
 
-func two(directory bool) *Members {
+func twoNodes(directory bool) *Members {
 	return New([]Known{{ID: 2, NQN: "b", Address: "b:1", Cell: 1}, {ID: 1, NQN: "a", Address: "a:1", Cell: 0}}, directory)
 }
 
@@ -20,21 +20,21 @@
 }
 
 func TestWithoutDirectory(t *testing.T) {
-	m := two(false)
+	m := twoNodes(false)
 	news := m.News(nil)
 	if len(news) != 2 || news[0].ID != 1 || news[0].State != logic.Ready || m.Address(2) != "b:1" {
 		t.Fatalf("%+v", news)
 	}
 	if again := m.News(nil); len(again) != 0 {
-		t.Errorf("told twice: %+v", again)
+		t.Errorf("reported twice: %+v", again)
 	}
 }
 
-// What a directory may do wrong, in one life.
+// The faults of a directory, in one sequence.
 func TestDirectory(t *testing.T) {
-	m := two(true)
+	m := twoNodes(true)
 	if got := states(m); len(got) != 0 || m.Address(1) != "" {
-		t.Errorf("nodes %v in use before the directory named them", got)
+		t.Errorf("nodes %v in use before the directory listed them", got)
 	}
 	list := func(session int, gen uint64, want string, names ...string) {
 		t.Helper()
@@ -59,23 +59,23 @@
 	if got := states(m); len(got) != 1 || got[2] != logic.Gone {
 		t.Errorf("%v, want node 2 gone", got)
 	}
-	list(1, 5, "comes after", "a", "b") // an old page overtaken
+	list(1, 5, "comes after", "a", "b") // an older page that was overtaken
 	if got := states(m); len(got) != 0 {
 		t.Errorf("a stale list changed %v", got)
 	}
-	list(2, 1, "", "a", "b") // a directory started anew
+	list(2, 1, "", "a", "b") // a restarted directory
 	if got := states(m); got[2] != logic.Ready {
 		t.Errorf("%v, want node 2 back", got)
 	}
 	list(2, 2, `names "y"`, "a", "b", "y")
-	list(2, 3, "", "a", "b", "y") // said once
+	list(2, 3, "", "a", "b", "y") // complained about only once
 	if c := m.Listed(2, 4, []Entry{{"a", "a:9"}, {"b", ""}}); c != "" || m.Address(1) != "a:9" || m.Address(2) != "b:1" {
 		t.Errorf("addresses %q %q, %q", m.Address(1), m.Address(2), c)
 	}
 }
 
 func TestStarted(t *testing.T) {
-	m := two(false)
+	m := twoNodes(false)
 	started := func() logic.Micros { return m.find(1).started }
 	m.Reached(1, 100, -1)
 	if started() != 0 {
@@ -88,21 +88,21 @@
 	}
 	m.Reached(1, 90_000_000, 10_000_000)
 	if started() != 80_000_000 {
-		t.Errorf("started %d, want what it told", started())
+		t.Errorf("started %d, want what it reported", started())
 	}
 	m.News(nil)
 	m.Reached(1, 95_000_000, 14_900_000)
 	if news := m.News(nil); len(news) != 0 {
-		t.Errorf("the same start told a little later is news: %+v", news)
+		t.Errorf("the same start reported a little later counts as a change: %+v", news)
 	}
 	m.Reached(1, 96_000_000, 10_000)
 	if news := m.News(nil); len(news) != 1 || news[0].Started != 95_990_000 {
-		t.Errorf("a new start is not told: %+v", news)
+		t.Errorf("a new start is not reported: %+v", news)
 	}
 }
 
 func TestDraining(t *testing.T) {
-	m := two(false)
+	m := twoNodes(false)
 	m.News(nil)
 	m.Draining(2, true)
 	if got := states(m); len(got) != 1 || got[2] != logic.Draining {
@@ -115,19 +115,19 @@
 	}
 }
 
-// What an earlier process knew stands until something else is told, before or after.
+// What an earlier process knew stays until something different is reported, before or after the restore.
 func TestRemember(t *testing.T) {
-	m := two(false)
+	m := twoNodes(false)
 	m.Reached(1, 50_000_000, 10_000_000)
 	m.Reached(2, 50_000_000, 10_000_000)
 	m.Remember(50_000_000, []Memory{{ID: 1, Started: 10_200_000, Refused: logic.Never}, {ID: 2, Started: 30_000_000, Refused: logic.Never}, {ID: 9}})
 	if a, b := m.find(1).started, m.find(2).started; a != 39_800_000 || b != 40_000_000 {
-		t.Errorf("started %d and %d; want the remembered one where it is the same start, the told one where it is not", a, b)
+		t.Errorf("started %d and %d; want the restored one where it is the same start, the reported one where it is not", a, b)
 	}
 	m.News(nil)
 	m.Reached(1, 51_000_000, 11_000_000)
 	if news := m.News(nil); len(news) != 0 {
-		t.Errorf("the same start is news: %+v", news)
+		t.Errorf("the same start counts as a change: %+v", news)
 	}
 	if got := m.Memory(51_000_000); len(got) != 2 || got[0].Started != 11_200_000 || got[0].Refused != logic.Never {
 		t.Errorf("%+v", got)
