--- a/recall/recall.go
+++ b/recall/recall.go
@@ -1,9 +1,9 @@
-// Package recall decides how much of what a gateway learned before it was restarted still counts. Package logic takes
-// its memory out and gives it back as plain data; here it is aged in between.
+// Package recall decides how much of a gateway's state from before a restart still counts. Package logic exports its
+// state and imports it as plain data; this package ages it in between.
 //
-// It guards against two harms: a gateway that has forgotten which nodes were slow piles work onto them again, and one
-// that trusts a clock or an old figure too much breaks a limit or leaves a node alone that has long been well. Where
-// it is in doubt it keeps what makes the gateway send less, and forgets what would make it send more.
+// It guards against two kinds of harm: a gateway that no longer knows which nodes were slow overloads them again, and
+// one that trusts a clock or an old figure too much exceeds a limit or avoids a node that recovered long ago. In doubt
+// it keeps what makes the gateway send less and drops what would make it send more.
 //
 // It has no clock, goroutine or I/O.
 package recall
@@ -20,100 +20,100 @@
 	minute               = 60 * sec
 	hour                 = 60 * minute
 
-	// Each figure fades in its own time.
-	failingHalf = 10 * sec    // a node that fails fast is found out within seconds, either way
-	vanishHalf  = 10 * sec    // so are links that lose answers
-	missingTime = 10 * sec    // time-outs in a row tell of a hang for as long as it lasts
-	downTime    = 10 * sec    // as do connections that were refused; package links tries again within two seconds
-	balanceTime = 1 * sec     // credit of a queue that waited; a debt stays, it is repaid by time
-	windowTime  = 10 * minute // windows open by themselves while nothing is heard; beyond this nothing of them is left
-	latencyTime = 10 * minute // how long a node usually takes
-	unitTime    = 1 * hour    // how long a unit takes, over all nodes: changes with machines and software only
-	shareTime   = 10 * minute // whose turn it is in the second pass
-
-	// A clock that is more than tooFar ahead of the state was set, or the state is of another life.
-	tooFar = 365 * 24 * hour
+	// Each kind of figure ages at its own rate.
+	failingHalfLife = 10 * sec    // a node that fails fast is detected within seconds, and so is its recovery
+	vanishHalfLife  = 10 * sec    // the same holds for links that lose answers
+	missingMaxAge   = 10 * sec    // consecutive timeouts indicate a hang only as long as it lasts
+	downMaxAge      = 10 * sec    // so do refused connections; package links retries within two seconds
+	balanceMaxAge   = 1 * sec     // credit of a queue that waited; a debt stays, it is repaid over time
+	windowMaxAge    = 10 * minute // windows open by themselves while nothing is received; after this nothing of them is left
+	latencyMaxAge   = 10 * minute // typical response time of a node
+	unitMaxAge      = 1 * hour    // time per unit over all nodes; changes only with machines and software
+	shareMaxAge     = 10 * minute // whose turn it is in the second pass
+
+	// A clock that is more than maxClockJump ahead of the state was set, or the state is left over from an earlier deployment.
+	maxClockJump = 365 * 24 * hour
 )
 
 // Stamp is a moment by the clocks of a machine.
 type Stamp struct {
-	Boot  string       // names the machine's boot; empty: not known
-	Since logic.Micros // since that boot, suspends included
-	Wall  logic.Micros // since 1970
+	Boot  string       // id of the machine's boot; empty: unknown
+	Since logic.Micros // time since that boot, including suspends
+	Wall  logic.Micros // time since 1970
 }
 
-// Trust is how well an age is known.
+// Trust is how reliably an age is known.
 type Trust uint8
 
 const (
-	Exact  Trust = iota // by one boot's own clock
-	ByWall              // by a clock that may have been set
-	None                // not at all
+	Exact  Trust = iota // by the clock of one boot
+	ByWall              // by a wall clock that may have been set
+	None                // unknown
 )
 
-// Age is how long ago then was, and how well that is known. The complaint says what is wrong with the clocks, "" where
-// nothing is.
-func Age(then, now Stamp) (age logic.Micros, how Trust, complaint string) {
+// Age returns the time from then to now and how reliably it is known. The complaint describes a fault of the clocks; it
+// is "" if there is none.
+func Age(then, now Stamp) (age logic.Micros, trust Trust, complaint string) {
 	if then.Boot != "" && then.Boot == now.Boot {
 		if age = now.Since - then.Since; age >= 0 {
 			return age, Exact, ""
 		}
-		return 0, None, "the machine's own clock went backward within one boot"
+		return 0, None, "the boot clock went backward within one boot"
 	}
 	switch age = now.Wall - then.Wall; {
 	case age < 0:
-		return 0, None, fmt.Sprintf("the clock was set back, or the state comes from the future: by %.0f s", -float64(age)/1e6)
-	case age > tooFar:
-		return 0, None, "the clock is over a year ahead of the state"
+		return 0, None, fmt.Sprintf("the clock was set back, or the saved state is from the future, by %.0f s", -float64(age)/1e6)
+	case age > maxClockJump:
+		return 0, None, "the clock is more than a year ahead of the saved state"
 	}
 	return age, ByWall, ""
 }
 
-// Limits tells whether what the state says of limits may be built on: only where its gateway ended by itself, so that
-// nothing was drawn after it was written, where its age is known for sure, as the store refills by it, and where it
-// has been marked as used, so that nobody builds on it a second time.
-func Limits(clean, marked bool, how Trust) bool { return clean && marked && how == Exact }
+// Limits reports whether the stored state of limits may be used. The gateway must have shut down by itself, so that
+// nothing was drawn after the state was written; the age must be exact, because the store refills by it; and the state
+// must be marked as used, so that no other process uses it a second time.
+func Limits(clean, marked bool, trust Trust) bool { return clean && marked && trust == Exact }
 
-// Fade ages a memory. An age that is not known counts as long for what fades, and as no time for what is owed.
-func Fade(m logic.Memory, age logic.Micros, how Trust, limits bool) logic.Memory {
-	span := age
-	if how == None {
-		age, span = 0, logic.Micros(math.MaxInt64/8)
+// Fade ages a memory. An unknown age counts as very long for figures that fade, and as zero for debts.
+func Fade(m logic.Memory, age logic.Micros, trust Trust, limits bool) logic.Memory {
+	fadeAge := age
+	if trust == None {
+		age, fadeAge = 0, logic.Micros(math.MaxInt64/8)
 	}
 	shift := func(at *logic.Micros) {
 		if *at < logic.Never/2 {
 			*at += age
 		}
 	}
-	fade := func(x *float64, half logic.Micros) { *x *= math.Exp2(-float64(span) / float64(half)) }
+	fade := func(x *float64, halfLife logic.Micros) { *x *= math.Exp2(-float64(fadeAge) / float64(halfLife)) }
 	shift(&m.WaitsAge)
-	fade(&m.Vanish, vanishHalf)
-	if span > unitTime {
+	fade(&m.Vanish, vanishHalfLife)
+	if fadeAge > unitMaxAge {
 		m.Unit = 0
 	}
-	m.Taken, m.Extra = shifted(m.Taken, age), shifted(m.Extra, age)
-	if span > shareTime {
+	m.Taken, m.Extra = addAge(m.Taken, age), addAge(m.Extra, age)
+	if fadeAge > shareMaxAge {
 		m.Spare = 0
 	}
 	nodes := m.Nodes
 	m.Nodes = make([]logic.NodeMemory, len(nodes))
 	for i, n := range nodes {
-		// What the node itself has done goes on counting whoever looks: its start, and what it was sent while cold.
+		// A node's start and what it was sent while cold continue to count, whichever gateway observes it.
 		for _, at := range []*logic.Micros{&n.Node.Started, &n.Halved[0], &n.Halved[1], &n.Rest, &n.Last, &n.Sent, &n.WaitAge, &n.DownAge, &n.Revived} {
 			shift(at)
 		}
-		n.SentLog, n.Served = past(n.SentLog, age), past(n.Served, age)
-		fade(&n.Failing, failingHalf)
-		if span > missingTime {
+		n.SentLog, n.Served = addPastAge(n.SentLog, age), addPastAge(n.Served, age)
+		fade(&n.Failing, failingHalfLife)
+		if fadeAge > missingMaxAge {
 			n.Missing = 0
 		}
-		if span > downTime {
+		if fadeAge > downMaxAge {
 			n.Down = 0
 		}
-		if span > latencyTime {
+		if fadeAge > latencyMaxAge {
 			n.Latency = 0
 		}
-		if span > windowTime {
+		if fadeAge > windowMaxAge {
 			n.Window, n.Wait, n.WaitAge, n.Rest = [2]float64{}, 0, logic.Never, logic.Never
 		}
 		m.Nodes[i] = n
@@ -124,10 +124,10 @@
 		for _, at := range []*logic.Micros{&v.Credited, &v.Last, &v.Stored, &v.Own.Age, &v.Others.Age, &v.TotalAge} {
 			shift(at)
 		}
-		if span > balanceTime {
+		if fadeAge > balanceMaxAge {
 			v.Balance = min(v.Balance, 0)
 		}
-		if span > shareTime {
+		if fadeAge > shareMaxAge {
 			v.Share = 0
 		}
 		v.Known = v.Known && limits
@@ -136,44 +136,44 @@
 	return m
 }
 
-func shifted(l []logic.Micros, by logic.Micros) (out []logic.Micros) {
+func addAge(l []logic.Micros, age logic.Micros) (out []logic.Micros) {
 	for _, at := range l {
-		out = append(out, at+by)
+		out = append(out, at+age)
 	}
 	return out
 }
 
-func past(l []logic.Past, by logic.Micros) (out []logic.Past) {
+func addPastAge(l []logic.Past, age logic.Micros) (out []logic.Past) {
 	for _, p := range l {
-		out = append(out, logic.Past{Age: p.Age + by, Units: p.Units})
+		out = append(out, logic.Past{Age: p.Age + age, Units: p.Units})
 	}
 	return out
 }
 
-// Taken is a request that an earlier process had taken from a client and not answered, as the region that the client
-// has kept tells of it.
+// Taken is a request that an earlier process had taken from a client and not answered, as described by the inflight
+// region that the client has kept.
 type Taken struct {
-	Known     bool         // the region is ours and says what follows; otherwise only that it was taken
+	Known     bool         // the region is valid; otherwise the other fields say nothing
 	Sent      bool         // an attempt was begun, or was about to be
-	Age       logic.Micros // since it was taken
+	Age       logic.Micros // since the request was taken
 	First     logic.Micros // since the first attempt
-	SameGroup bool         // only nodes of the group that drops its repeats hold its data
+	SameGroup bool         // its data is only on nodes of the group that drops its repeats
 }
 
-// Fate is what becomes of such a request.
+// Fate is what becomes of a Taken request.
 type Fate uint8
 
 const (
-	Again  Fate = iota // it is taken anew, within the time that is left
-	Refuse             // a retry is harmless
-	Fail               // no promise
+	Again  Fate = iota // taken again, with the time that is left
+	Refuse             // answered as refused; a retry is harmless
+	Fail               // answered as failed, with no promise
 )
 
-// rememberMargin is how much of the time for which nodes drop repeats must be left for a repeat to be worth sending.
-const rememberMargin = 200 * ms
+// minRepeatTimeLeft is how much of the time for which nodes drop repeats must be left for a repeat to be sent.
+const minRepeatTimeLeft = 200 * ms
 
-// Resume decides on a request found in a client's ring after a restart; left is the time it has from now on. What was
-// never sent is sent; what may have run follows its class.
+// Resume decides what becomes of a request found in a client's ring after a restart; left is the time it has from now
+// on. A request that was never sent is sent; for one that may have been executed its class decides.
 func Resume(c *logic.Class, t Taken) (f Fate, left logic.Micros) {
 	if left = c.Deadline; t.Known {
 		left -= max(t.Age, 0)
@@ -183,21 +183,21 @@
 	case sent && c.Repeat == logic.Fragile:
 		return Fail, 0
 	case sent && c.Repeat == logic.Dedup:
-		remembered := c.RepeatWindow - max(t.First, 0)
-		if !t.Known || !t.SameGroup || remembered < rememberMargin || left <= 0 {
+		repeatTimeLeft := c.RepeatWindow - max(t.First, 0)
+		if !t.Known || !t.SameGroup || repeatTimeLeft < minRepeatTimeLeft || left <= 0 {
 			return Fail, 0
 		}
-		return Again, min(left, remembered)
+		return Again, min(left, repeatTimeLeft)
 	case left <= 0:
 		return Refuse, 0
 	}
 	return Again, left
 }
 
-// HandWait is how long a gateway that hands its clients over waits for what is out at the nodes. Longer spares repeats,
-// shorter is the wait of everybody else.
+// HandWait is how long a gateway waits for requests in flight at the nodes when it hands over its clients. A longer
+// wait saves repeats, a shorter one delays the other requests less.
 const HandWait = 250 * ms
 
-// MustFinish tells whether only the process that has begun a request can give it its answer, so that a handover waits
-// for it past [HandWait], until its deadline at the most: an unsafe one that was sent could else only be failed.
+// MustFinish reports whether only the process that has sent a request can answer it. The handover then waits for it
+// beyond [HandWait], at most until its deadline: the next process could only fail an unsafe request that was sent.
 func MustFinish(c *logic.Class, sent bool) bool { return sent && c.Repeat == logic.Fragile }
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -15,7 +15,7 @@
 	for name, c := range map[string]struct {
 		now      Stamp
 		age      logic.Micros
-		how      Trust
+		trust      Trust
 		complain bool
 	}{
 		"same boot":                    {Stamp{"b1", 103 * sec, 5}, 3 * sec, Exact, false},
@@ -23,11 +23,11 @@
 		"same boot, backward":          {Stamp{"b1", 99 * sec, 1000 * hour}, 0, None, true},
 		"another boot":                 {Stamp{"b2", sec, 1000*hour + minute}, minute, ByWall, false},
 		"another boot, clock set back": {Stamp{"b2", sec, 999 * hour}, 0, None, true},
-		"a year ahead":                 {Stamp{"b2", sec, 1000*hour + 2*tooFar}, 0, None, true},
+		"a year ahead":                 {Stamp{"b2", sec, 1000*hour + 2*maxClockJump}, 0, None, true},
 		"boot not known":               {Stamp{"", 103 * sec, 1000*hour + sec}, sec, ByWall, false},
 	} {
 		age, how, complaint := Age(then, c.now)
-		if age != c.age || how != c.how || (complaint != "") != c.complain {
+		if age != c.age || how != c.trust || (complaint != "") != c.complain {
 			t.Errorf("%s: %d, %d, %q", name, age, how, complaint)
 		}
 	}
@@ -36,58 +36,58 @@
 func TestLimits(t *testing.T) {
 	for _, clean := range []bool{false, true} {
 		for _, marked := range []bool{false, true} {
-			for _, how := range []Trust{Exact, ByWall, None} {
-				if got := Limits(clean, marked, how); got != (clean && marked && how == Exact) {
-					t.Errorf("clean %v, marked %v, trust %d: %v", clean, marked, how, got)
+			for _, trust := range []Trust{Exact, ByWall, None} {
+				if got := Limits(clean, marked, trust); got != (clean && marked && trust == Exact) {
+					t.Errorf("clean %v, marked %v, trust %d: %v", clean, marked, trust, got)
 				}
 			}
 		}
 	}
 }
 
-var set = logic.Settings{
+var settings = logic.Settings{
 	Hosts: 2, Classes: []logic.Class{{Aim: 100 * ms, Deadline: 2 * sec, Worth: 1, LateShare: 0.2}, {Aim: 200 * ms, Deadline: 3 * sec, Worth: 2, InOrder: true}},
 	Plans:       []logic.Plan{{Rate: 50, Reserve: 40, Weight: 1}, {Rate: 20, Weight: 1, Limit: 30, LimitBurst: 10, LimitSlack: 2}},
 	Rules:       logic.Rules{ColdFrom: 0.2, ColdTime: 10 * sec, ColdUnits: 10, OverloadTime: sec, TipMultiple: 3, BudgetWindow: sec, BudgetFree: 2, BudgetPerTake: 0.1},
 	MaxAttempts: 3, UnitMean: 1, UnitTop: 4,
 }
 
-// life plays random events to a host: it draws them, so that they are the same to each host that is given them.
-type life struct {
-	host *logic.Host
-	now  logic.Micros
-	id   logic.RequestID
-	out  []logic.Send
-	tok  []logic.Wake
-	try  map[logic.RequestID]int
+// simulation plays random events to a host. It draws them, so that they are the same for each host that receives them.
+type simulation struct {
+	host     *logic.Host
+	now      logic.Micros
+	id       logic.RequestID
+	inFlight []logic.Send
+	timers   []logic.Wake
+	attempts map[logic.RequestID]int
 }
 
-func (l *life) step(t *rapid.T) {
+func (l *simulation) step(t *rapid.T) {
 	var events []logic.Event
 	l.now += logic.Micros(rapid.IntRange(1, 40_000).Draw(t, "pass"))
-	for _, w := range l.tok {
+	for _, w := range l.timers {
 		events = append(events, logic.TimerFired{Token: w.Token})
 	}
-	l.tok = nil
+	l.timers = nil
 	for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 		l.id++
 		plan := rapid.IntRange(0, 1).Draw(t, "plan")
 		events = append(events, logic.Arrival{Request: l.id, Class: rapid.IntRange(0, 1).Draw(t, "class"), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
 			Key: uint64(l.id), Volume: logic.VolumeID(plan*2 + rapid.IntRange(0, 1).Draw(t, "volume")), Plan: plan, Attached: 2, Units: 1, DropDead: l.now + 2*sec})
 	}
-	for len(l.out) > 0 && rapid.Bool().Draw(t, "end") {
-		s := l.out[0]
-		l.out = l.out[1:]
+	for len(l.inFlight) > 0 && rapid.Bool().Draw(t, "end") {
+		s := l.inFlight[0]
+		l.inFlight = l.inFlight[1:]
 		o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.OK, logic.OK, logic.Failed, logic.Full, logic.TimedOut, logic.ConnectFailed}).Draw(t, "outcome")
-		events = append(events, logic.AttemptEnded{Request: s.Request, Attempt: l.try[s.Request], Node: s.Node, Outcome: o, Settled: o == logic.OK, Load: logic.NoLoad})
-		l.try[s.Request]++
+		events = append(events, logic.AttemptEnded{Request: s.Request, Attempt: l.attempts[s.Request], Node: s.Node, Outcome: o, Settled: o == logic.OK, Load: logic.NoLoad})
+		l.attempts[s.Request]++
 	}
 	for _, a := range l.host.Step(l.now, events, nil) {
 		switch a := a.(type) {
 		case logic.Send:
-			l.out = append(l.out, a)
+			l.inFlight = append(l.inFlight, a)
 		case logic.Wake:
-			l.tok = append(l.tok, a)
+			l.timers = append(l.timers, a)
 		}
 	}
 }
@@ -97,12 +97,12 @@
 		{ID: 3, Cell: 2, State: logic.Ready}}}
 }
 
-// The same memory given to the same module gives the same decisions: two hosts that remember one memory, which is also
-// what a third takes out again at once, act alike on one stream of events.
+// The same memory restored into the same module leads to the same decisions: two hosts restored from one memory act
+// alike on one stream of events, and a host that exports its memory right after the restore exports the same memory.
 func TestSameMemorySameDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first, _ := logic.New(set, 7)
-		l := &life{host: first, now: 3600 * sec, try: map[logic.RequestID]int{}}
+		first, _ := logic.New(settings, 7)
+		l := &simulation{host: first, now: 3600 * sec, attempts: map[logic.RequestID]int{}}
 		list := nodes(l.now)
 		first.Step(l.now, []logic.Event{list}, nil)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -114,56 +114,56 @@
 		}
 		var twins [2]*logic.Host
 		for i := range twins {
-			twins[i], _ = logic.New(set, uint64(i)) // the seed is part of the memory
+			twins[i], _ = logic.New(settings, uint64(i)) // the seed is part of the memory
 			if err := twins[i].Remember(l.now, m); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if again := twins[0].Memory(l.now); !reflect.DeepEqual(plain(again), plain(m)) {
-			t.Fatalf("taken out again it differs:\n%+v\n%+v", plain(again), plain(m))
+		if again := twins[0].Memory(l.now); !reflect.DeepEqual(normalize(again), normalize(m)) {
+			t.Fatalf("the memory exported after the restore differs:\n%+v\n%+v", normalize(again), normalize(m))
 		}
 		for _, h := range twins {
 			h.Step(l.now, []logic.Event{list}, nil)
 		}
-		a := &life{host: twins[0], now: l.now, id: l.id, try: map[logic.RequestID]int{}}
+		a := &simulation{host: twins[0], now: l.now, id: l.id, attempts: map[logic.RequestID]int{}}
 		for range rapid.IntRange(1, 30).Draw(t, "after") {
 			var events []logic.Event
 			a.now += logic.Micros(rapid.IntRange(1, 40_000).Draw(t, "pass"))
-			for _, w := range a.tok {
+			for _, w := range a.timers {
 				events = append(events, logic.TimerFired{Token: w.Token})
 			}
-			a.tok = nil
+			a.timers = nil
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				a.id++
 				events = append(events, logic.Arrival{Request: a.id, Cell: rapid.IntRange(0, 2).Draw(t, "cell"), Volume: 2, Plan: 1, Attached: 2, Units: 1, DropDead: a.now + 2*sec})
 			}
-			for len(a.out) > 0 && rapid.Bool().Draw(t, "end") {
-				s := a.out[0]
-				a.out = a.out[1:]
+			for len(a.inFlight) > 0 && rapid.Bool().Draw(t, "end") {
+				s := a.inFlight[0]
+				a.inFlight = a.inFlight[1:]
 				o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.Failed, logic.Full, logic.TimedOut}).Draw(t, "outcome")
-				events = append(events, logic.AttemptEnded{Request: s.Request, Attempt: a.try[s.Request], Node: s.Node, Outcome: o, Settled: o == logic.OK, Load: logic.NoLoad})
-				a.try[s.Request]++
+				events = append(events, logic.AttemptEnded{Request: s.Request, Attempt: a.attempts[s.Request], Node: s.Node, Outcome: o, Settled: o == logic.OK, Load: logic.NoLoad})
+				a.attempts[s.Request]++
 			}
 			x := twins[0].Step(a.now, events, nil)
 			y := twins[1].Step(a.now, events, nil)
 			if fmt.Sprint(x) != fmt.Sprint(y) {
-				t.Fatalf("they act apart: %v and %v", x, y)
+				t.Fatalf("the hosts act differently: %v and %v", x, y)
 			}
 			for _, act := range x {
 				switch act := act.(type) {
 				case logic.Send:
-					a.out = append(a.out, act)
+					a.inFlight = append(a.inFlight, act)
 				case logic.Wake:
-					a.tok = append(a.tok, act)
+					a.timers = append(a.timers, act)
 				}
 			}
 		}
 	})
 }
 
-// plain is a memory without what a new host cannot have: nodes are gone until a list names them, and times before the
-// clock began are as good as never.
-func plain(m logic.Memory) logic.Memory {
+// normalize drops what a new host cannot have: nodes are gone until a list names them, and times before the clock began
+// are equivalent to never.
+func normalize(m logic.Memory) logic.Memory {
 	for i := range m.Nodes {
 		m.Nodes[i].Node.State = logic.Gone
 		if m.Nodes[i].SentLog == nil {
@@ -190,7 +190,7 @@
 	return m
 }
 
-// An old memory counts for less, a week-old one for nothing but which nodes there were; what is owed stays owed.
+// An old memory counts for less, and of a week-old one only the list of nodes counts; debts stay.
 func TestFade(t *testing.T) {
 	m := logic.Memory{Vanish: 0.8, Unit: 10_000, Spare: 5, Extra: []logic.Micros{ms}, WaitsAge: logic.Never,
 		Nodes: []logic.NodeMemory{{Node: logic.Node{ID: 4, Cell: 2, Started: 2 * sec}, Window: [2]float64{0.5, 0.5}, Failing: 0.8, Missing: 2, Latency: 9000,
@@ -204,7 +204,7 @@
 		t.Errorf("after 10 s: %+v", short)
 	}
 	if short.Volumes[0].Balance != 0 || short.Volumes[1].Balance != -4 {
-		t.Errorf("balances %v, %v: credit goes, a debt stays", short.Volumes[0].Balance, short.Volumes[1].Balance)
+		t.Errorf("balances %v, %v: credit must expire, a debt must stay", short.Volumes[0].Balance, short.Volumes[1].Balance)
 	}
 	for name, old := range map[string]logic.Memory{"a week": Fade(m, 7*24*hour, ByWall, false), "no telling": Fade(m, 0, None, false)} {
 		n := old.Nodes[0]
@@ -214,20 +214,20 @@
 		if old.Unit != 0 || old.Vanish > 1e-9 || old.Spare != 0 || old.Volumes[0].Known || old.Volumes[0].Share != 0 {
 			t.Errorf("%s: %+v", name, old)
 		}
-		host, _ := logic.New(set, 1)
+		host, _ := logic.New(settings, 1)
 		if err := host.Remember(3600*sec, old); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if none := Fade(m, 0, None, false); none.Nodes[0].Node.Started != 2*sec {
-		t.Errorf("a start of unknown age counts as %d ago, want as young as it was told", none.Nodes[0].Node.Started)
+		t.Errorf("a start of unknown age counts as %d ago, want the reported age", none.Nodes[0].Node.Started)
 	}
 	if !reflect.DeepEqual(m.Nodes[0].SentLog, []logic.Past{{Age: ms, Units: 3}}) || !m.Volumes[0].Known {
-		t.Error("the memory that was given was changed")
+		t.Error("the memory passed in was modified")
 	}
 }
 
-// What must be finished by its own process is just what the next could only fail because of the handover.
+// The requests that their own process must finish are exactly those that the next process could only fail.
 func TestMustFinish(t *testing.T) {
 	for _, repeat := range []logic.Repeat{logic.Retryable, logic.Dedup, logic.Fragile} {
 		for _, sent := range []bool{false, true} {
