--- a/recall/recall.go
+++ b/recall/recall.go
@@ -31,7 +31,8 @@
 	unitMaxAge      = 1 * hour    // time per unit over all nodes; changes only with machines and software
 	shareMaxAge     = 10 * minute // whose turn it is in the second pass
 
-	// A clock that is more than maxClockJump ahead of the state was set, or the state is left over from an earlier deployment.
+	// A clock that is more than maxClockJump ahead of the state was set, or the state is left over from an earlier
+	// deployment.
 	maxClockJump = 365 * 24 * hour
 )
 
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -15,7 +15,7 @@
 	for name, c := range map[string]struct {
 		now      Stamp
 		age      logic.Micros
-		trust      Trust
+		trust    Trust
 		complain bool
 	}{
 		"same boot":                    {Stamp{"b1", 103 * sec, 5}, 3 * sec, Exact, false},
