--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -214,7 +214,7 @@
 // reportCapacity tells the handler how many requests it may hold, if that has changed.
 func (f *Front) reportCapacity() {
 	f.mu.Lock()
-	capacity := f.seats.Room(f.handler.Now())
+	capacity := f.seats.MaxHeld(f.handler.Now())
 	changed := capacity != f.capacity
 	f.capacity = capacity
 	f.mu.Unlock()
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -113,8 +113,8 @@
 // were closed as usual during a shutdown had nowhere to send to until the process was back.
 func (t *Table) Ending() { t.shuttingDown = true }
 
-// Room returns how many requests should be held at once; 0: no limit.
-func (t *Table) Room(now logic.Micros) int {
+// MaxHeld returns how many requests should be held at once; 0: no limit.
+func (t *Table) MaxHeld(now logic.Micros) int {
 	if !t.shuttingDown {
 		return t.limits.Held
 	}
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -306,20 +306,20 @@
 			table.Move(0, s, Idle)
 		}
 	}
-	if n := table.Room(0); n != 20 {
+	if n := table.MaxHeld(0); n != 20 {
 		t.Fatalf("quota %d while new connections may arrive", n)
 	}
 	table.Ending()
-	if n := table.Room(onceUsedIdleLimit - 1); n != 20 { // 25 of 30 connections, capped by Limits.Held
+	if n := table.MaxHeld(onceUsedIdleLimit - 1); n != 20 { // 25 of 30 connections, capped by Limits.Held
 		t.Errorf("quota %d", n)
 	}
-	if n := table.Room(onceUsedIdleLimit); n != 17 { // of 20
+	if n := table.MaxHeld(onceUsedIdleLimit); n != 17 { // of 20
 		t.Errorf("quota %d where ten connections have carried one request", n)
 	}
 	for _, s := range table.All() {
 		table.Leave(s)
 	}
-	if n := table.Room(onceUsedIdleLimit); n != 1 {
+	if n := table.MaxHeld(onceUsedIdleLimit); n != 1 {
 		t.Errorf("quota %d with no connection", n)
 	}
 }
