--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -360,7 +360,7 @@
 	if _, duplicate := f.openIDs[idHash]; duplicate {
 		return &rejectError{409, "a request with that id is open"}, false
 	}
-	if c.pause, ok = f.seats.Ask(now, c.seat, targetHash); !ok {
+	if c.pause, ok = f.seats.Admit(now, c.seat, targetHash); !ok {
 		return &rejectError{503, "no room for another request"}, false
 	}
 	f.openIDs[idHash] = struct{}{}
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -258,8 +258,8 @@
 // Refused records that a request was refused; key identifies equal requests.
 func (t *Table) Refused(now logic.Micros, s *Seat, key uint64) { s.resumed, s.key = now+s.pause, key }
 
-// Ask decides whether a complete request is admitted, and for how long the connection is not read after the answer.
-func (t *Table) Ask(now logic.Micros, s *Seat, key uint64) (readPause logic.Micros, admitted bool) {
+// Admit decides whether a complete request is admitted, and for how long the connection is not read after the answer.
+func (t *Table) Admit(now logic.Micros, s *Seat, key uint64) (readPause logic.Micros, admitted bool) {
 	if s.Over() || t.limits.Open > 0 && t.lists[Open].length >= t.limits.Open {
 		return 0, false
 	}
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -70,17 +70,17 @@
 	var all []*Seat
 	for i := range 4 {
 		s, _ := table.Take(0, nil)
-		if _, ok := table.Ask(0, s, 1); ok != (i < 2) {
+		if _, ok := table.Admit(0, s, 1); ok != (i < 2) {
 			t.Fatalf("request %d: %v", i, ok)
 		}
 		all = append(all, s)
 	}
 	table.Move(0, all[0], Idle)
-	if _, ok := table.Ask(0, all[2], 1); !ok {
+	if _, ok := table.Admit(0, all[2], 1); !ok {
 		t.Fatal("rejected though one request was answered")
 	}
 	table.Leave(all[3])
-	if _, ok := table.Ask(0, all[3], 1); ok {
+	if _, ok := table.Admit(0, all[3], 1); ok {
 		t.Fatal("admitted on a released seat")
 	}
 }
@@ -89,7 +89,7 @@
 func TestSlowReaders(t *testing.T) {
 	table := New(Limits{Seats: 1})
 	s, _ := table.Take(0, nil)
-	table.Ask(0, s, 1)
+	table.Admit(0, s, 1)
 	table.Move(sec, s, Sending)
 	if got, _ := table.Take(2*sec, nil); got != nil || table.Busy() != 1 || table.Overdue(sec+sendTimeout-1) != nil {
 		t.Fatal("evicted or overdue while it still reads its answer")
@@ -295,14 +295,14 @@
 		s, _ := table.Take(0, i)
 		switch {
 		case i < 8:
-			table.Ask(0, s, 1) // open
+			table.Admit(0, s, 1) // open
 		case i < 20: // have carried two requests
-			table.Ask(0, s, 1)
+			table.Admit(0, s, 1)
 			table.Move(0, s, Idle)
-			table.Ask(0, s, 1)
+			table.Admit(0, s, 1)
 			table.Move(0, s, Idle)
 		case i < 30: // have carried one request
-			table.Ask(0, s, 1)
+			table.Admit(0, s, 1)
 			table.Move(0, s, Idle)
 		}
 	}
