--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -101,7 +101,7 @@
 		conn.GuardReads(&f.mu, c.noteRead)
 		now := f.handler.Now()
 		f.mu.Lock()
-		seat, evicted := f.seats.Take(now, c)
+		seat, evicted := f.seats.Accept(now, c)
 		if evicted != nil {
 			evicted.Owner.(*client).conn.Shutdown()
 		}
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -142,11 +142,11 @@
 // fuller reports whether more than the given share of the seats is taken.
 func (t *Table) fuller(share float64) bool { return float64(t.Taken()) > share*float64(t.limits.Seats) }
 
-// Take admits a new connection. If no seat is free it evicts one, which the caller must close: a lingering connection
+// Accept admits a new connection. If no seat is free it evicts one, which the caller must close: a lingering connection
 // first, then the one silent for longest, the one longest in its first request, the one idle for longest. Connections
 // that arrived or were served a moment ago are evicted only after all others. If every other connection is in service,
 // the new one is rejected and s is nil.
-func (t *Table) Take(now logic.Micros, owner any) (s, evicted *Seat) {
+func (t *Table) Accept(now logic.Micros, owner any) (s, evicted *Seat) {
 	if t.Taken() >= t.limits.Seats {
 		for i, st := range [...]State{Lingering, Silent, Speaking, Idle, Silent, Speaking, Idle} {
 			minAge := [numStates]logic.Micros{Silent: unreadGrace, Speaking: unreadGrace, Idle: minIdle}[st]
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -9,7 +9,7 @@
 
 func TestWhoLosesItsSeat(t *testing.T) {
 	table := New(Limits{Seats: 4, Bodies: 100})
-	take := func(now logic.Micros, name string) (*Seat, *Seat) { return table.Take(now, name) }
+	take := func(now logic.Micros, name string) (*Seat, *Seat) { return table.Accept(now, name) }
 	open, _ := take(1, "open")
 	idle, _ := take(2, "idle")
 	slow, _ := take(3, "slow")
@@ -36,13 +36,13 @@
 // the other way round.
 func TestUnreadIsNotSpeechless(t *testing.T) {
 	table := New(Limits{Seats: 2, Bodies: 100})
-	idle, _ := table.Take(0, "idle")
+	idle, _ := table.Accept(0, "idle")
 	table.Move(0, idle, Idle)
-	fresh, _ := table.Take(3*sec, "fresh")
-	if _, out := table.Take(3*sec+ms, "next"); out != idle {
+	fresh, _ := table.Accept(3*sec, "fresh")
+	if _, out := table.Accept(3*sec+ms, "next"); out != idle {
 		t.Fatal("a connection not read yet was evicted instead of one idle for long")
 	}
-	if _, out := table.Take(3*sec+2*ms, "more"); out != fresh {
+	if _, out := table.Accept(3*sec+2*ms, "more"); out != fresh {
 		t.Fatal("with no idle connection the oldest silent one is evicted")
 	}
 }
@@ -52,7 +52,7 @@
 func TestThoseWhoAskOnceAndStay(t *testing.T) {
 	table := New(Limits{Seats: 128, Bodies: 100})
 	for now := logic.Micros(0); now < 60*sec; now += 90 * ms {
-		s, _ := table.Take(now, nil)
+		s, _ := table.Accept(now, nil)
 		table.Move(now, s, Open)
 		table.Move(now+ms, s, Idle)
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
@@ -69,7 +69,7 @@
 	table := New(Limits{Seats: 10, Open: 2})
 	var all []*Seat
 	for i := range 4 {
-		s, _ := table.Take(0, nil)
+		s, _ := table.Accept(0, nil)
 		if _, ok := table.Admit(0, s, 1); ok != (i < 2) {
 			t.Fatalf("request %d: %v", i, ok)
 		}
@@ -88,10 +88,10 @@
 // A client that reads its answer too slowly is disconnected; until then its connection is not evicted.
 func TestSlowReaders(t *testing.T) {
 	table := New(Limits{Seats: 1})
-	s, _ := table.Take(0, nil)
+	s, _ := table.Accept(0, nil)
 	table.Admit(0, s, 1)
 	table.Move(sec, s, Sending)
-	if got, _ := table.Take(2*sec, nil); got != nil || table.Busy() != 1 || table.Overdue(sec+sendTimeout-1) != nil {
+	if got, _ := table.Accept(2*sec, nil); got != nil || table.Busy() != 1 || table.Overdue(sec+sendTimeout-1) != nil {
 		t.Fatal("evicted or overdue while it still reads its answer")
 	}
 	if table.Overdue(sec+sendTimeout) != s {
@@ -104,7 +104,7 @@
 	table := New(Limits{Seats: 10, Bodies: 100})
 	var all []*Seat
 	for range 6 {
-		s, _ := table.Take(0, nil)
+		s, _ := table.Accept(0, nil)
 		table.Move(0, s, Open)
 		if all = append(all, s); table.Last(s) != (len(all) > 4) {
 			t.Fatalf("%d taken: %v", len(all), table.Last(s))
@@ -127,7 +127,7 @@
 	table := New(Limits{Seats: 4, Bodies: 100})
 	var s *Seat
 	for range 4 {
-		s, _ = table.Take(0, nil)
+		s, _ = table.Accept(0, nil)
 		table.Move(0, s, Open)
 	}
 	if !table.Last(s) {
@@ -147,16 +147,16 @@
 	table := New(Limits{Seats: 20, Bodies: 100})
 	var usual []*Seat
 	for i := range 10 {
-		s, _ := table.Take(logic.Micros(i), "usual")
+		s, _ := table.Accept(logic.Micros(i), "usual")
 		table.Move(logic.Micros(i), s, Open)
 		usual = append(usual, s)
 	}
 	for i := range 1000 {
-		if s, _ := table.Take(logic.Micros(100+i), "crowd"); s == nil {
+		if s, _ := table.Accept(logic.Micros(100+i), "crowd"); s == nil {
 			t.Fatal("connection rejected")
 		}
 		if i%100 == 0 {
-			s, _ := table.Take(logic.Micros(100+i), "new")
+			s, _ := table.Accept(logic.Micros(100+i), "new")
 			if s == nil {
 				t.Fatal("a usual client was rejected")
 			}
@@ -173,12 +173,12 @@
 
 func TestOverdue(t *testing.T) {
 	table := New(Limits{Seats: 100, Bodies: 100})
-	silent, _ := table.Take(0, nil)
-	speaking, _ := table.Take(1, nil)
+	silent, _ := table.Accept(0, nil)
+	speaking, _ := table.Accept(1, nil)
 	table.Move(2*sec, speaking, Speaking) // its time still counts from connecting
-	open, _ := table.Take(0, nil)
+	open, _ := table.Accept(0, nil)
 	table.Move(0, open, Open)
-	idle, _ := table.Take(0, nil)
+	idle, _ := table.Accept(0, nil)
 	table.Move(0, idle, Idle)
 	if s := table.Overdue(firstRequestTimeout - 1); s != nil {
 		t.Fatal("overdue too early")
@@ -199,7 +199,7 @@
 	// Where seats are scarce, idle connections expire sooner.
 	table = New(Limits{Seats: 10, Bodies: 100})
 	for range 3 {
-		s, _ := table.Take(0, nil)
+		s, _ := table.Accept(0, nil)
 		table.Move(0, s, Idle)
 	}
 	if table.Overdue(minIdle) == nil {
@@ -209,7 +209,7 @@
 
 func TestInstantRepeats(t *testing.T) {
 	table := New(Limits{Seats: 10, Bodies: 100})
-	s, _ := table.Take(0, nil)
+	s, _ := table.Accept(0, nil)
 	if table.pauseFor(0, s, 7) != 0 {
 		t.Fatal("a pause after the first request")
 	}
@@ -242,7 +242,7 @@
 	now := logic.Micros(0)
 	for range 20000 {
 		now += logic.Micros(rng.Int64N(int64(50 * ms)))
-		if s, _ := table.Take(now, nil); s != nil && rng.IntN(2) == 0 {
+		if s, _ := table.Accept(now, nil); s != nil && rng.IntN(2) == 0 {
 			held = append(held, s)
 		}
 		if len(held) > 0 {
@@ -292,7 +292,7 @@
 func TestRoomWhileEnding(t *testing.T) {
 	table := New(Limits{Seats: 100, Held: 20})
 	for i := range 40 {
-		s, _ := table.Take(0, i)
+		s, _ := table.Accept(0, i)
 		switch {
 		case i < 8:
 			table.Admit(0, s, 1) // open
