--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -122,7 +122,7 @@
 func (f *Front) Drain() {
 	f.mu.Lock()
 	f.shutdown.Told(f.handler.Now())
-	f.seats.Ending()
+	f.seats.BeginShutdown()
 	close(f.wakeUp)
 	f.wakeUp = make(chan struct{})
 	connections, deadline := f.seats.Taken(), f.shutdown.Till()
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -109,9 +109,9 @@
 // New returns an empty table.
 func New(l Limits) *Table { return &Table{limits: l} }
 
-// Ending starts the shutdown: no new connections arrive from now on, so idle ones are kept. Clients whose connections
+// BeginShutdown starts the shutdown: no new connections arrive from now on, so idle ones are kept. Clients whose connections
 // were closed as usual during a shutdown had nowhere to send to until the process was back.
-func (t *Table) Ending() { t.shuttingDown = true }
+func (t *Table) BeginShutdown() { t.shuttingDown = true }
 
 // MaxHeld returns how many requests should be held at once; 0: no limit.
 func (t *Table) MaxHeld(now logic.Micros) int {
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -133,7 +133,7 @@
 	if !table.Last(s) {
 		t.Fatal("keeps the connection in a rush")
 	}
-	if table.Ending(); table.Last(s) {
+	if table.BeginShutdown(); table.Last(s) {
 		t.Fatal("closes a connection whose client cannot get another")
 	}
 	table.Move(0, s, Idle)
@@ -309,7 +309,7 @@
 	if n := table.MaxHeld(0); n != 20 {
 		t.Fatalf("quota %d while new connections may arrive", n)
 	}
-	table.Ending()
+	table.BeginShutdown()
 	if n := table.MaxHeld(onceUsedIdleLimit - 1); n != 20 { // 25 of 30 connections, capped by Limits.Held
 		t.Errorf("quota %d", n)
 	}
