--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -107,7 +107,7 @@
 		}
 		if c.seat = seat; seat == nil || f.closed {
 			if seat != nil {
-				f.seats.Leave(seat)
+				f.seats.Release(seat)
 			}
 			f.mu.Unlock()
 			conn.Close()
@@ -172,7 +172,7 @@
 	f.mu.Lock()
 	f.closed = true
 	for _, s := range f.seats.All() {
-		f.seats.Leave(s)
+		f.seats.Release(s)
 		s.Owner.(*client).conn.Shutdown()
 	}
 	f.mu.Unlock()
@@ -205,7 +205,7 @@
 				c.linger(now)
 			}
 		default:
-			f.seats.Leave(s)
+			f.seats.Release(s)
 			c.conn.Shutdown()
 		}
 	}
@@ -495,7 +495,7 @@
 func (c *client) answerSent(now logic.Micros, closeAfter bool) {
 	switch {
 	case c.disconnected:
-		c.front.seats.Leave(c.seat)
+		c.front.seats.Release(c.seat)
 		c.conn.Shutdown()
 	case closeAfter:
 		c.linger(now)
@@ -550,7 +550,7 @@
 // close frees the seat and closes the connection.
 func (c *client) close() {
 	c.front.mu.Lock()
-	c.front.seats.Leave(c.seat)
+	c.front.seats.Release(c.seat)
 	c.front.mu.Unlock()
 	c.conn.Close()
 }
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -163,7 +163,7 @@
 			return nil, nil
 		}
 		t.Tally.Displaced++
-		t.Leave(evicted)
+		t.Release(evicted)
 	}
 	s = &Seat{Owner: owner, stateSince: now, acceptedAt: now}
 	t.push(s)
@@ -197,8 +197,8 @@
 // State returns the current state of the connection.
 func (s *Seat) State() State { return s.state }
 
-// Leave frees a seat and the bytes of its body. Further calls have no effect on the seat.
-func (t *Table) Leave(s *Seat) {
+// Release frees a seat and the bytes of its body. Further calls have no effect on the seat.
+func (t *Table) Release(s *Seat) {
 	t.Free(s)
 	if s.Gone() {
 		return
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -56,7 +56,7 @@
 		table.Move(now, s, Open)
 		table.Move(now+ms, s, Idle)
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
-			table.Leave(s)
+			table.Release(s)
 		}
 		if table.Taken() > 64 {
 			t.Fatalf("%d seats taken", table.Taken())
@@ -79,7 +79,7 @@
 	if _, ok := table.Admit(0, all[2], 1); !ok {
 		t.Fatal("rejected though one request was answered")
 	}
-	table.Leave(all[3])
+	table.Release(all[3])
 	if _, ok := table.Admit(0, all[3], 1); ok {
 		t.Fatal("admitted on a released seat")
 	}
@@ -115,8 +115,8 @@
 	if table.Last(all[0]) {
 		t.Fatal("closes a connection that has carried a request before")
 	}
-	table.Leave(all[5])
-	table.Leave(all[4])
+	table.Release(all[5])
+	table.Release(all[4])
 	if table.Last(all[1]) {
 		t.Fatal("closes a connection after the rush")
 	}
@@ -161,7 +161,7 @@
 				t.Fatal("a usual client was rejected")
 			}
 			table.Move(logic.Micros(100+i), s, Open)
-			table.Leave(s)
+			table.Release(s)
 		}
 	}
 	for _, s := range usual {
@@ -191,7 +191,7 @@
 		if s != c.want {
 			t.Fatalf("at %d: %+v", c.at, s)
 		}
-		table.Leave(s)
+		table.Release(s)
 	}
 	if s := table.Overdue(1000 * sec); s != nil {
 		t.Fatal("a connection with a held request is overdue")
@@ -249,7 +249,7 @@
 			i := rng.IntN(len(held))
 			switch s := held[i]; rng.IntN(6) {
 			case 0:
-				table.Leave(s)
+				table.Release(s)
 				held = append(held[:i], held[i+1:]...)
 			case 1:
 				table.Hold(s, rng.IntN(100))
@@ -260,7 +260,7 @@
 			}
 		}
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
-			table.Leave(s)
+			table.Release(s)
 		}
 		body := 0
 		all := table.All()
@@ -277,7 +277,7 @@
 		}
 	}
 	for _, s := range table.All() {
-		table.Leave(s)
+		table.Release(s)
 	}
 	for _, s := range held {
 		table.Free(s)
@@ -317,7 +317,7 @@
 		t.Errorf("quota %d where ten connections have carried one request", n)
 	}
 	for _, s := range table.All() {
-		table.Leave(s)
+		table.Release(s)
 	}
 	if n := table.MaxHeld(onceUsedIdleLimit); n != 1 {
 		t.Errorf("quota %d with no connection", n)
