--- a/seats/seats.go
+++ b/seats/seats.go
@@ -200,18 +200,18 @@
 // Release frees a seat and the bytes of its body. Further calls have no effect on the seat.
 func (t *Table) Release(s *Seat) {
 	t.Free(s)
-	if s.Gone() {
+	if s.Released() {
 		return
 	}
 	t.remove(s)
 	s.stateSince = -1
 }
 
-// Gone reports whether the seat was freed.
-func (s *Seat) Gone() bool { return s.stateSince < 0 }
+// Released reports whether the seat was freed.
+func (s *Seat) Released() bool { return s.stateSince < 0 }
 
 // Over reports whether input on the connection is ignored because the seat is freed or lingering.
-func (s *Seat) Over() bool { return s.Gone() || s.state == Lingering }
+func (s *Seat) Over() bool { return s.Released() || s.state == Lingering }
 
 // Hold reserves bytes for a body. It returns false if they are not available; the request must then be refused.
 func (t *Table) Hold(s *Seat, bytes int) bool {
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -165,7 +165,7 @@
 		}
 	}
 	for _, s := range usual {
-		if s.Gone() {
+		if s.Released() {
 			t.Fatal("a connection in service was evicted")
 		}
 	}
@@ -268,7 +268,7 @@
 			body += s.bodyBytes
 		}
 		for _, s := range held {
-			if s.Gone() {
+			if s.Released() {
 				body += s.bodyBytes
 			}
 		}
