--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -325,7 +325,7 @@
 	}
 	f.mu.Lock()
 	c.noteRead() // the bytes may have been read together with earlier ones
-	closed := c.seat.Over()
+	closed := c.seat.Closing()
 	f.mu.Unlock()
 	if closed {
 		c.discardInput() // the request crossed the end of the connection: none of it is processed
@@ -539,7 +539,7 @@
 	f.mu.Lock()
 	f.tally.Rejected++
 	f.log.Debug("rejected", zap.String("why", rejection.reason))
-	if !c.seat.Over() { // otherwise the connection is being closed already
+	if !c.seat.Closing() { // otherwise the connection is being closed already
 		c.conn.TryWrite(appendError(c.outBuf[:0], rejection))
 		c.linger(now)
 	}
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -175,7 +175,7 @@
 // Move changes the state of a connection. An idle connection holds no body bytes, and one that is lingering or released
 // keeps its state.
 func (t *Table) Move(now logic.Micros, s *Seat, to State) {
-	if s.state == to && to != Idle || s.Over() {
+	if s.state == to && to != Idle || s.Closing() {
 		return
 	}
 	t.remove(s)
@@ -210,12 +210,12 @@
 // Released reports whether the seat was freed.
 func (s *Seat) Released() bool { return s.stateSince < 0 }
 
-// Over reports whether input on the connection is ignored because the seat is freed or lingering.
-func (s *Seat) Over() bool { return s.Released() || s.state == Lingering }
+// Closing reports whether input on the connection is ignored because the seat is freed or lingering.
+func (s *Seat) Closing() bool { return s.Released() || s.state == Lingering }
 
 // Hold reserves bytes for a body. It returns false if they are not available; the request must then be refused.
 func (t *Table) Hold(s *Seat, bytes int) bool {
-	if s.Over() || t.bodyBytes+bytes > t.limits.Bodies {
+	if s.Closing() || t.bodyBytes+bytes > t.limits.Bodies {
 		return false
 	}
 	s.bodyBytes += bytes
@@ -260,7 +260,7 @@
 
 // Admit decides whether a complete request is admitted, and for how long the connection is not read after the answer.
 func (t *Table) Admit(now logic.Micros, s *Seat, key uint64) (readPause logic.Micros, admitted bool) {
-	if s.Over() || t.limits.Open > 0 && t.lists[Open].length >= t.limits.Open {
+	if s.Closing() || t.limits.Open > 0 && t.lists[Open].length >= t.limits.Open {
 		return 0, false
 	}
 	readPause = t.pauseFor(now, s, key)
