--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -337,7 +337,7 @@
 func (c *client) reserveBody(n int) bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	return c.front.seats.Hold(c.seat, n)
+	return c.front.seats.ReserveBody(c.seat, n)
 }
 
 // register admits the current request. It fails with a rejection, or reports that the client has already disconnected,
@@ -475,7 +475,7 @@
 	if err == nil && len(unsent) > 0 {
 		// The unsent part of an answer counts against the memory for bodies. Without enough memory the answer is cut
 		// short, which the client can detect.
-		if f.seats.Hold(c.seat, len(unsent)) {
+		if f.seats.ReserveBody(c.seat, len(unsent)) {
 			f.seats.Move(now, c.seat, seats.Sending)
 			c.flushed = make(chan struct{})
 			f.goroutines.Go(func() { c.flushAnswer(unsent, closeAfter) })
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -213,8 +213,8 @@
 // Closing reports whether input on the connection is ignored because the seat is freed or lingering.
 func (s *Seat) Closing() bool { return s.Released() || s.state == Lingering }
 
-// Hold reserves bytes for a body. It returns false if they are not available; the request must then be refused.
-func (t *Table) Hold(s *Seat, bytes int) bool {
+// ReserveBody reserves bytes for a body. It returns false if they are not available; the request must then be refused.
+func (t *Table) ReserveBody(s *Seat, bytes int) bool {
 	if s.Closing() || t.bodyBytes+bytes > t.limits.Bodies {
 		return false
 	}
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -252,7 +252,7 @@
 				table.Release(s)
 				held = append(held[:i], held[i+1:]...)
 			case 1:
-				table.Hold(s, rng.IntN(100))
+				table.ReserveBody(s, rng.IntN(100))
 			case 2:
 				table.Free(s)
 			default:
