--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -450,7 +450,7 @@
 	defer f.mu.Unlock()
 	c.held = false
 	delete(f.openIDs, c.idHash)
-	f.seats.Free(c.seat)
+	f.seats.FreeBody(c.seat)
 	if a.Verdict == core.Refused {
 		f.seats.Refused(now, c.seat, c.targetHash)
 	}
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -185,7 +185,7 @@
 	case Open:
 		s.requests++
 	case Idle:
-		t.Free(s)
+		t.FreeBody(s)
 	}
 }
 
@@ -199,7 +199,7 @@
 
 // Release frees a seat and the bytes of its body. Further calls have no effect on the seat.
 func (t *Table) Release(s *Seat) {
-	t.Free(s)
+	t.FreeBody(s)
 	if s.Released() {
 		return
 	}
@@ -223,8 +223,8 @@
 	return true
 }
 
-// Free returns the bytes reserved for a seat's body.
-func (t *Table) Free(s *Seat) {
+// FreeBody returns the bytes reserved for a seat's body.
+func (t *Table) FreeBody(s *Seat) {
 	t.bodyBytes -= s.bodyBytes
 	s.bodyBytes = 0
 }
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -254,7 +254,7 @@
 			case 1:
 				table.ReserveBody(s, rng.IntN(100))
 			case 2:
-				table.Free(s)
+				table.FreeBody(s)
 			default:
 				table.Move(now, s, State(rng.IntN(int(numStates))))
 			}
@@ -280,7 +280,7 @@
 		table.Release(s)
 	}
 	for _, s := range held {
-		table.Free(s)
+		table.FreeBody(s)
 	}
 	if table.Taken() != 0 || table.bodyBytes != 0 {
 		t.Fatal(table.Taken(), table.bodyBytes)
