--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -454,7 +454,7 @@
 	if a.Verdict == core.Refused {
 		f.seats.Refused(now, c.seat, c.targetHash)
 	}
-	closeAfter := c.closeAfterAnswer || f.shutdown.Last(now) || f.seats.Last(c.seat)
+	closeAfter := c.closeAfterAnswer || f.shutdown.Last(now) || f.seats.ClosesAfterAnswer(c.seat)
 	c.outBuf = appendHead(c.outBuf[:0], a, closeAfter)
 	var unsent []byte
 	n, err := 0, error(nil)
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// Last reports whether a connection is to be closed after the answer to its current request.
-func (t *Table) Last(s *Seat) bool {
+// ClosesAfterAnswer reports whether a connection is to be closed after the answer to its current request.
+func (t *Table) ClosesAfterAnswer(s *Seat) bool {
 	return !t.shuttingDown && s.requests <= 1 && t.fuller(scarceShare)
 }
 
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -106,18 +106,18 @@
 	for range 6 {
 		s, _ := table.Accept(0, nil)
 		table.Move(0, s, Open)
-		if all = append(all, s); table.Last(s) != (len(all) > 4) {
-			t.Fatalf("%d taken: %v", len(all), table.Last(s))
+		if all = append(all, s); table.ClosesAfterAnswer(s) != (len(all) > 4) {
+			t.Fatalf("%d taken: %v", len(all), table.ClosesAfterAnswer(s))
 		}
 	}
 	table.Move(1, all[0], Idle)
 	table.Move(2, all[0], Open)
-	if table.Last(all[0]) {
+	if table.ClosesAfterAnswer(all[0]) {
 		t.Fatal("closes a connection that has carried a request before")
 	}
 	table.Release(all[5])
 	table.Release(all[4])
-	if table.Last(all[1]) {
+	if table.ClosesAfterAnswer(all[1]) {
 		t.Fatal("closes a connection after the rush")
 	}
 }
@@ -130,10 +130,10 @@
 		s, _ = table.Accept(0, nil)
 		table.Move(0, s, Open)
 	}
-	if !table.Last(s) {
+	if !table.ClosesAfterAnswer(s) {
 		t.Fatal("keeps the connection in a rush")
 	}
-	if table.BeginShutdown(); table.Last(s) {
+	if table.BeginShutdown(); table.ClosesAfterAnswer(s) {
 		t.Fatal("closes a connection whose client cannot get another")
 	}
 	table.Move(0, s, Idle)
