--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -200,7 +200,7 @@
 			c.linger(now)
 		case seats.Idle:
 			if c.conn.HasUnread() {
-				f.seats.Move(now, s, seats.Resuming) // a request has just arrived
+				f.seats.SetState(now, s, seats.Resuming) // a request has just arrived
 			} else {
 				c.linger(now)
 			}
@@ -293,9 +293,9 @@
 func (c *client) noteRead() {
 	switch c.seat.State() {
 	case seats.Silent:
-		c.front.seats.Move(c.front.handler.Now(), c.seat, seats.Speaking)
+		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.Speaking)
 	case seats.Idle:
-		c.front.seats.Move(c.front.handler.Now(), c.seat, seats.Resuming)
+		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.Resuming)
 	}
 }
 
@@ -427,7 +427,7 @@
 // what still arrives. The caller holds the lock.
 func (c *client) linger(now logic.Micros) {
 	c.conn.CloseWrite()
-	c.front.seats.Move(now, c.seat, seats.Lingering)
+	c.front.seats.SetState(now, c.seat, seats.Lingering)
 }
 
 // discardInput discards what arrives on a lingering connection until the client closes it, sends too much, or its time
@@ -476,7 +476,7 @@
 		// The unsent part of an answer counts against the memory for bodies. Without enough memory the answer is cut
 		// short, which the client can detect.
 		if f.seats.ReserveBody(c.seat, len(unsent)) {
-			f.seats.Move(now, c.seat, seats.Sending)
+			f.seats.SetState(now, c.seat, seats.Sending)
 			c.flushed = make(chan struct{})
 			f.goroutines.Go(func() { c.flushAnswer(unsent, closeAfter) })
 			return
@@ -500,7 +500,7 @@
 	case closeAfter:
 		c.linger(now)
 	default:
-		c.front.seats.Move(now, c.seat, seats.Idle)
+		c.front.seats.SetState(now, c.seat, seats.Idle)
 	}
 }
 
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -172,9 +172,9 @@
 	return s, evicted
 }
 
-// Move changes the state of a connection. An idle connection holds no body bytes, and one that is lingering or released
+// SetState changes the state of a connection. An idle connection holds no body bytes, and one that is lingering or released
 // keeps its state.
-func (t *Table) Move(now logic.Micros, s *Seat, to State) {
+func (t *Table) SetState(now logic.Micros, s *Seat, to State) {
 	if s.state == to && to != Idle || s.Closing() {
 		return
 	}
@@ -264,7 +264,7 @@
 		return 0, false
 	}
 	readPause = t.pauseFor(now, s, key)
-	t.Move(now, s, Open)
+	t.SetState(now, s, Open)
 	return readPause, true
 }
 
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -14,15 +14,15 @@
 	idle, _ := take(2, "idle")
 	slow, _ := take(3, "slow")
 	silent, _ := take(4, "silent")
-	table.Move(5, open, Open)
-	table.Move(6, idle, Idle)
-	table.Move(7, slow, Speaking)
+	table.SetState(5, open, Open)
+	table.SetState(6, idle, Idle)
+	table.SetState(7, slow, Speaking)
 	for _, want := range []*Seat{silent, slow, idle} {
 		s, out := take(10+sec, "usual")
 		if s == nil || out != want {
 			t.Fatalf("evicted %v, want %v", out, want)
 		}
-		table.Move(10+sec, s, Open)
+		table.SetState(10+sec, s, Open)
 	}
 	if s, out := take(11+sec, "late"); s != nil || out != nil {
 		t.Fatal("a connection was admitted though all others are in service")
@@ -37,7 +37,7 @@
 func TestUnreadIsNotSpeechless(t *testing.T) {
 	table := New(Limits{Seats: 2, Bodies: 100})
 	idle, _ := table.Accept(0, "idle")
-	table.Move(0, idle, Idle)
+	table.SetState(0, idle, Idle)
 	fresh, _ := table.Accept(3*sec, "fresh")
 	if _, out := table.Accept(3*sec+ms, "next"); out != idle {
 		t.Fatal("a connection not read yet was evicted instead of one idle for long")
@@ -53,8 +53,8 @@
 	table := New(Limits{Seats: 128, Bodies: 100})
 	for now := logic.Micros(0); now < 60*sec; now += 90 * ms {
 		s, _ := table.Accept(now, nil)
-		table.Move(now, s, Open)
-		table.Move(now+ms, s, Idle)
+		table.SetState(now, s, Open)
+		table.SetState(now+ms, s, Idle)
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
 			table.Release(s)
 		}
@@ -75,7 +75,7 @@
 		}
 		all = append(all, s)
 	}
-	table.Move(0, all[0], Idle)
+	table.SetState(0, all[0], Idle)
 	if _, ok := table.Admit(0, all[2], 1); !ok {
 		t.Fatal("rejected though one request was answered")
 	}
@@ -90,7 +90,7 @@
 	table := New(Limits{Seats: 1})
 	s, _ := table.Accept(0, nil)
 	table.Admit(0, s, 1)
-	table.Move(sec, s, Sending)
+	table.SetState(sec, s, Sending)
 	if got, _ := table.Accept(2*sec, nil); got != nil || table.Busy() != 1 || table.Overdue(sec+sendTimeout-1) != nil {
 		t.Fatal("evicted or overdue while it still reads its answer")
 	}
@@ -105,13 +105,13 @@
 	var all []*Seat
 	for range 6 {
 		s, _ := table.Accept(0, nil)
-		table.Move(0, s, Open)
+		table.SetState(0, s, Open)
 		if all = append(all, s); table.ClosesAfterAnswer(s) != (len(all) > 4) {
 			t.Fatalf("%d taken: %v", len(all), table.ClosesAfterAnswer(s))
 		}
 	}
-	table.Move(1, all[0], Idle)
-	table.Move(2, all[0], Open)
+	table.SetState(1, all[0], Idle)
+	table.SetState(2, all[0], Open)
 	if table.ClosesAfterAnswer(all[0]) {
 		t.Fatal("closes a connection that has carried a request before")
 	}
@@ -128,7 +128,7 @@
 	var s *Seat
 	for range 4 {
 		s, _ = table.Accept(0, nil)
-		table.Move(0, s, Open)
+		table.SetState(0, s, Open)
 	}
 	if !table.ClosesAfterAnswer(s) {
 		t.Fatal("keeps the connection in a rush")
@@ -136,7 +136,7 @@
 	if table.BeginShutdown(); table.ClosesAfterAnswer(s) {
 		t.Fatal("closes a connection whose client cannot get another")
 	}
-	table.Move(0, s, Idle)
+	table.SetState(0, s, Idle)
 	if table.Overdue(100*sec) != nil {
 		t.Fatal("an idle connection is overdue during shutdown")
 	}
@@ -148,7 +148,7 @@
 	var usual []*Seat
 	for i := range 10 {
 		s, _ := table.Accept(logic.Micros(i), "usual")
-		table.Move(logic.Micros(i), s, Open)
+		table.SetState(logic.Micros(i), s, Open)
 		usual = append(usual, s)
 	}
 	for i := range 1000 {
@@ -160,7 +160,7 @@
 			if s == nil {
 				t.Fatal("a usual client was rejected")
 			}
-			table.Move(logic.Micros(100+i), s, Open)
+			table.SetState(logic.Micros(100+i), s, Open)
 			table.Release(s)
 		}
 	}
@@ -175,11 +175,11 @@
 	table := New(Limits{Seats: 100, Bodies: 100})
 	silent, _ := table.Accept(0, nil)
 	speaking, _ := table.Accept(1, nil)
-	table.Move(2*sec, speaking, Speaking) // its time still counts from connecting
+	table.SetState(2*sec, speaking, Speaking) // its time still counts from connecting
 	open, _ := table.Accept(0, nil)
-	table.Move(0, open, Open)
+	table.SetState(0, open, Open)
 	idle, _ := table.Accept(0, nil)
-	table.Move(0, idle, Idle)
+	table.SetState(0, idle, Idle)
 	if s := table.Overdue(firstRequestTimeout - 1); s != nil {
 		t.Fatal("overdue too early")
 	}
@@ -200,7 +200,7 @@
 	table = New(Limits{Seats: 10, Bodies: 100})
 	for range 3 {
 		s, _ := table.Accept(0, nil)
-		table.Move(0, s, Idle)
+		table.SetState(0, s, Idle)
 	}
 	if table.Overdue(minIdle) == nil {
 		t.Fatal("idle connections stay though the table is crowded")
@@ -256,7 +256,7 @@
 			case 2:
 				table.FreeBody(s)
 			default:
-				table.Move(now, s, State(rng.IntN(int(numStates))))
+				table.SetState(now, s, State(rng.IntN(int(numStates))))
 			}
 		}
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
@@ -298,12 +298,12 @@
 			table.Admit(0, s, 1) // open
 		case i < 20: // have carried two requests
 			table.Admit(0, s, 1)
-			table.Move(0, s, Idle)
+			table.SetState(0, s, Idle)
 			table.Admit(0, s, 1)
-			table.Move(0, s, Idle)
+			table.SetState(0, s, Idle)
 		case i < 30: // have carried one request
 			table.Admit(0, s, 1)
-			table.Move(0, s, Idle)
+			table.SetState(0, s, Idle)
 		}
 	}
 	if n := table.MaxHeld(0); n != 20 {
