--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -154,7 +154,7 @@
 	f.wakeUp = make(chan struct{})
 	for _, s := range f.seats.All() {
 		switch c := s.Owner.(*client); s.State() {
-		case seats.Speaking, seats.Resuming:
+		case seats.ReadingFirst, seats.Resuming:
 			c.conn.TryWrite(appendError(nil, &rejectError{503, "ending"}))
 			c.linger(now)
 		case seats.Idle:
@@ -195,7 +195,7 @@
 func (f *Front) closeOverdue(now logic.Micros) {
 	for s := f.seats.Overdue(now); s != nil; s = f.seats.Overdue(now) {
 		switch c := s.Owner.(*client); s.State() {
-		case seats.Speaking, seats.Resuming:
+		case seats.ReadingFirst, seats.Resuming:
 			c.conn.TryWrite(appendError(nil, &rejectError{408, "the request does not end"}))
 			c.linger(now)
 		case seats.Idle:
@@ -293,7 +293,7 @@
 func (c *client) noteRead() {
 	switch c.seat.State() {
 	case seats.Silent:
-		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.Speaking)
+		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.ReadingFirst)
 	case seats.Idle:
 		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.Resuming)
 	}
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -52,13 +52,13 @@
 type State uint8
 
 const (
-	Silent    State = iota // no byte received yet
-	Speaking               // receiving its first request
-	Resuming               // receiving a further request
-	Idle                   // last request answered
-	Open                   // a request is held
-	Sending                // the client is slow to read its answer
-	Lingering              // the client was told that the connection closes
+	Silent       State = iota // no byte received yet
+	ReadingFirst              // receiving its first request
+	Resuming                  // receiving a further request
+	Idle                      // last request answered
+	Open                      // a request is held
+	Sending                   // the client is slow to read its answer
+	Lingering                 // the client was told that the connection closes
 	numStates
 )
 
@@ -148,8 +148,8 @@
 // the new one is rejected and s is nil.
 func (t *Table) Accept(now logic.Micros, owner any) (s, evicted *Seat) {
 	if t.Taken() >= t.limits.Seats {
-		for i, st := range [...]State{Lingering, Silent, Speaking, Idle, Silent, Speaking, Idle} {
-			minAge := [numStates]logic.Micros{Silent: unreadGrace, Speaking: unreadGrace, Idle: minIdle}[st]
+		for i, st := range [...]State{Lingering, Silent, ReadingFirst, Idle, Silent, ReadingFirst, Idle} {
+			minAge := [numStates]logic.Micros{Silent: unreadGrace, ReadingFirst: unreadGrace, Idle: minIdle}[st]
 			if i > 3 {
 				minAge = 0
 			}
@@ -246,7 +246,7 @@
 			return s
 		}
 	}
-	for s := t.lists[Speaking].first; s != nil; s = s.next { // ordered by first byte, not by time of connecting
+	for s := t.lists[ReadingFirst].first; s != nil; s = s.next { // ordered by first byte, not by time of connecting
 		if now-s.acceptedAt >= firstRequestTimeout {
 			t.Tally.Overdue++
 			return s
@@ -322,5 +322,5 @@
 
 // Busy returns the number of connections that are receiving a request or sending its answer.
 func (t *Table) Busy() int {
-	return t.lists[Speaking].length + t.lists[Resuming].length + t.lists[Open].length + t.lists[Sending].length
+	return t.lists[ReadingFirst].length + t.lists[Resuming].length + t.lists[Open].length + t.lists[Sending].length
 }
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -16,7 +16,7 @@
 	silent, _ := take(4, "silent")
 	table.SetState(5, open, Open)
 	table.SetState(6, idle, Idle)
-	table.SetState(7, slow, Speaking)
+	table.SetState(7, slow, ReadingFirst)
 	for _, want := range []*Seat{silent, slow, idle} {
 		s, out := take(10+sec, "usual")
 		if s == nil || out != want {
@@ -175,7 +175,7 @@
 	table := New(Limits{Seats: 100, Bodies: 100})
 	silent, _ := table.Accept(0, nil)
 	speaking, _ := table.Accept(1, nil)
-	table.SetState(2*sec, speaking, Speaking) // its time still counts from connecting
+	table.SetState(2*sec, speaking, ReadingFirst) // its time still counts from connecting
 	open, _ := table.Accept(0, nil)
 	table.SetState(0, open, Open)
 	idle, _ := table.Accept(0, nil)
