--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -154,7 +154,7 @@
 	f.wakeUp = make(chan struct{})
 	for _, s := range f.seats.All() {
 		switch c := s.Owner.(*client); s.State() {
-		case seats.ReadingFirst, seats.Resuming:
+		case seats.ReadingFirst, seats.ReadingNext:
 			c.conn.TryWrite(appendError(nil, &rejectError{503, "ending"}))
 			c.linger(now)
 		case seats.Idle:
@@ -195,12 +195,12 @@
 func (f *Front) closeOverdue(now logic.Micros) {
 	for s := f.seats.Overdue(now); s != nil; s = f.seats.Overdue(now) {
 		switch c := s.Owner.(*client); s.State() {
-		case seats.ReadingFirst, seats.Resuming:
+		case seats.ReadingFirst, seats.ReadingNext:
 			c.conn.TryWrite(appendError(nil, &rejectError{408, "the request does not end"}))
 			c.linger(now)
 		case seats.Idle:
 			if c.conn.HasUnread() {
-				f.seats.SetState(now, s, seats.Resuming) // a request has just arrived
+				f.seats.SetState(now, s, seats.ReadingNext) // a request has just arrived
 			} else {
 				c.linger(now)
 			}
@@ -295,7 +295,7 @@
 	case seats.Silent:
 		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.ReadingFirst)
 	case seats.Idle:
-		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.Resuming)
+		c.front.seats.SetState(c.front.handler.Now(), c.seat, seats.ReadingNext)
 	}
 }
 
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -359,7 +359,7 @@
 		b := newTestFront(t)
 		u, c := b.overdueClient()
 		u.send(putRequest("9", "x")[:50])
-		b.waitUntil("the request has begun to arrive", func() bool { return c.seat.State() == seats.Resuming })
+		b.waitUntil("the request has begun to arrive", func() bool { return c.seat.State() == seats.ReadingNext })
 		b.front.sweep()
 		u.send(putRequest("9", "x")[50:])
 		b.answerOK(b.nextTaken(), "yes")
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -54,7 +54,7 @@
 const (
 	Silent       State = iota // no byte received yet
 	ReadingFirst              // receiving its first request
-	Resuming                  // receiving a further request
+	ReadingNext               // receiving a further request
 	Idle                      // last request answered
 	Open                      // a request is held
 	Sending                   // the client is slow to read its answer
@@ -118,7 +118,7 @@
 	if !t.shuttingDown {
 		return t.limits.Held
 	}
-	usable := t.lists[Open].length + t.lists[Resuming].length + t.lists[Sending].length
+	usable := t.lists[Open].length + t.lists[ReadingNext].length + t.lists[Sending].length
 	for s := t.lists[Idle].first; s != nil; s = s.next {
 		if s.requests > 1 || now-s.stateSince < onceUsedIdleLimit {
 			usable++
@@ -238,7 +238,7 @@
 	} else if t.fuller(crowdedShare) {
 		maxIdleNow = minIdle
 	}
-	for st, timeout := range [...]logic.Micros{Silent: firstRequestTimeout, Resuming: nextRequestTimeout, Idle: maxIdleNow, Sending: sendTimeout, Lingering: lingerTimeout} {
+	for st, timeout := range [...]logic.Micros{Silent: firstRequestTimeout, ReadingNext: nextRequestTimeout, Idle: maxIdleNow, Sending: sendTimeout, Lingering: lingerTimeout} {
 		if s := t.lists[st].first; s != nil && timeout > 0 && now-s.stateSince >= timeout {
 			if State(st) != Lingering {
 				t.Tally.Overdue++
@@ -322,5 +322,5 @@
 
 // Busy returns the number of connections that are receiving a request or sending its answer.
 func (t *Table) Busy() int {
-	return t.lists[ReadingFirst].length + t.lists[Resuming].length + t.lists[Open].length + t.lists[Sending].length
+	return t.lists[ReadingFirst].length + t.lists[ReadingNext].length + t.lists[Open].length + t.lists[Sending].length
 }
