--- a/seats/seats.go
+++ b/seats/seats.go
@@ -56,7 +56,7 @@
 	ReadingFirst              // receiving its first request
 	ReadingNext               // receiving a further request
 	Idle                      // last request answered
-	Open                      // a request is held
+	Serving                   // a request is held
 	Sending                   // the client is slow to read its answer
 	Lingering                 // the client was told that the connection closes
 	numStates
@@ -118,7 +118,7 @@
 	if !t.shuttingDown {
 		return t.limits.Held
 	}
-	usable := t.lists[Open].length + t.lists[ReadingNext].length + t.lists[Sending].length
+	usable := t.lists[Serving].length + t.lists[ReadingNext].length + t.lists[Sending].length
 	for s := t.lists[Idle].first; s != nil; s = s.next {
 		if s.requests > 1 || now-s.stateSince < onceUsedIdleLimit {
 			usable++
@@ -182,7 +182,7 @@
 	s.state, s.stateSince = to, now
 	t.push(s)
 	switch to {
-	case Open:
+	case Serving:
 		s.requests++
 	case Idle:
 		t.FreeBody(s)
@@ -260,11 +260,11 @@
 
 // Admit decides whether a complete request is admitted, and for how long the connection is not read after the answer.
 func (t *Table) Admit(now logic.Micros, s *Seat, key uint64) (readPause logic.Micros, admitted bool) {
-	if s.Closing() || t.limits.Open > 0 && t.lists[Open].length >= t.limits.Open {
+	if s.Closing() || t.limits.Open > 0 && t.lists[Serving].length >= t.limits.Open {
 		return 0, false
 	}
 	readPause = t.pauseFor(now, s, key)
-	t.SetState(now, s, Open)
+	t.SetState(now, s, Serving)
 	return readPause, true
 }
 
@@ -322,5 +322,5 @@
 
 // Busy returns the number of connections that are receiving a request or sending its answer.
 func (t *Table) Busy() int {
-	return t.lists[ReadingFirst].length + t.lists[ReadingNext].length + t.lists[Open].length + t.lists[Sending].length
+	return t.lists[ReadingFirst].length + t.lists[ReadingNext].length + t.lists[Serving].length + t.lists[Sending].length
 }
--- a/seats/seats_test.go
+++ b/seats/seats_test.go
@@ -14,7 +14,7 @@
 	idle, _ := take(2, "idle")
 	slow, _ := take(3, "slow")
 	silent, _ := take(4, "silent")
-	table.SetState(5, open, Open)
+	table.SetState(5, open, Serving)
 	table.SetState(6, idle, Idle)
 	table.SetState(7, slow, ReadingFirst)
 	for _, want := range []*Seat{silent, slow, idle} {
@@ -22,7 +22,7 @@
 		if s == nil || out != want {
 			t.Fatalf("evicted %v, want %v", out, want)
 		}
-		table.SetState(10+sec, s, Open)
+		table.SetState(10+sec, s, Serving)
 	}
 	if s, out := take(11+sec, "late"); s != nil || out != nil {
 		t.Fatal("a connection was admitted though all others are in service")
@@ -53,7 +53,7 @@
 	table := New(Limits{Seats: 128, Bodies: 100})
 	for now := logic.Micros(0); now < 60*sec; now += 90 * ms {
 		s, _ := table.Accept(now, nil)
-		table.SetState(now, s, Open)
+		table.SetState(now, s, Serving)
 		table.SetState(now+ms, s, Idle)
 		for s := table.Overdue(now); s != nil; s = table.Overdue(now) {
 			table.Release(s)
@@ -105,13 +105,13 @@
 	var all []*Seat
 	for range 6 {
 		s, _ := table.Accept(0, nil)
-		table.SetState(0, s, Open)
+		table.SetState(0, s, Serving)
 		if all = append(all, s); table.ClosesAfterAnswer(s) != (len(all) > 4) {
 			t.Fatalf("%d taken: %v", len(all), table.ClosesAfterAnswer(s))
 		}
 	}
 	table.SetState(1, all[0], Idle)
-	table.SetState(2, all[0], Open)
+	table.SetState(2, all[0], Serving)
 	if table.ClosesAfterAnswer(all[0]) {
 		t.Fatal("closes a connection that has carried a request before")
 	}
@@ -128,7 +128,7 @@
 	var s *Seat
 	for range 4 {
 		s, _ = table.Accept(0, nil)
-		table.SetState(0, s, Open)
+		table.SetState(0, s, Serving)
 	}
 	if !table.ClosesAfterAnswer(s) {
 		t.Fatal("keeps the connection in a rush")
@@ -148,7 +148,7 @@
 	var usual []*Seat
 	for i := range 10 {
 		s, _ := table.Accept(logic.Micros(i), "usual")
-		table.SetState(logic.Micros(i), s, Open)
+		table.SetState(logic.Micros(i), s, Serving)
 		usual = append(usual, s)
 	}
 	for i := range 1000 {
@@ -160,7 +160,7 @@
 			if s == nil {
 				t.Fatal("a usual client was rejected")
 			}
-			table.SetState(logic.Micros(100+i), s, Open)
+			table.SetState(logic.Micros(100+i), s, Serving)
 			table.Release(s)
 		}
 	}
@@ -177,7 +177,7 @@
 	speaking, _ := table.Accept(1, nil)
 	table.SetState(2*sec, speaking, ReadingFirst) // its time still counts from connecting
 	open, _ := table.Accept(0, nil)
-	table.SetState(0, open, Open)
+	table.SetState(0, open, Serving)
 	idle, _ := table.Accept(0, nil)
 	table.SetState(0, idle, Idle)
 	if s := table.Overdue(firstRequestTimeout - 1); s != nil {
