--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -85,7 +85,7 @@
 // connection is one connection to a target.
 type connection struct {
 	back       *Back
-	spare      spares.Line
+	spare      spares.Conn
 	target     core.Place
 	cancelDial context.CancelFunc
 
@@ -141,7 +141,7 @@
 	}
 	target, hasCapacity := b.targets[a.Node], false
 	if target.Takes && !b.closed {
-		var evicted *spares.Line
+		var evicted *spares.Conn
 		if evicted, hasCapacity = b.spares.Dial(); evicted != nil {
 			b.close(evicted.Owner.(*connection))
 		}
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -34,8 +34,8 @@
 	ageClasses   = 16 // the last class covers 16 s and more
 )
 
-// Line is a connection to a target.
-type Line struct {
+// Conn is a connection to a target.
+type Conn struct {
 	Owner        any
 	node         logic.NodeID
 	idleSince    logic.Micros
@@ -60,7 +60,7 @@
 	answerBytes    int
 	maxIdle        logic.Micros
 	open           int
-	idleLines      map[logic.NodeID][]*Line // longest idle first
+	idleLines      map[logic.NodeID][]*Conn // longest idle first
 	losses         [ageClasses]lossRecord   // by the age class of the connection when it was used
 	Tally          Tally
 }
@@ -74,7 +74,7 @@
 // New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together.
 // Targets close a connection that was idle for the given time.
 func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Set {
-	return &Set{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Line{}}
+	return &Set{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Conn{}}
 }
 
 // Open returns the number of connections, and how many of them are idle.
@@ -87,7 +87,7 @@
 
 // Pick returns an idle connection for the node's next request, or nil if a new one is needed. Of the connections that
 // have settled it takes the one used last, so that the others reach their maximum idle time.
-func (s *Set) Pick(now logic.Micros, node logic.NodeID) *Line {
+func (s *Set) Pick(now logic.Micros, node logic.NodeID) *Conn {
 	list := s.idleLines[node]
 	for i := len(list) - 1; i >= 0; i-- {
 		if line := list[i]; now-line.idleSince >= settleTime && now-line.idleSince < s.maxIdle && s.usableAt(now, ageClass(now-line.idleSince)) {
@@ -101,7 +101,7 @@
 }
 
 // Ended records whether the last request on a connection was lost with the connection.
-func (s *Set) Ended(now logic.Micros, l *Line, lost bool) {
+func (s *Set) Ended(now logic.Micros, l *Conn, lost bool) {
 	if l.usedAgeClass == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 
 // Dial reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest,
 // which the caller must close; ok is false if no connection is idle.
-func (s *Set) Dial() (evicted *Line, ok bool) {
+func (s *Set) Dial() (evicted *Conn, ok bool) {
 	if s.open >= s.maxOpen {
 		for _, list := range s.idleLines {
 			if len(list) > 0 && (evicted == nil || list[0].idleSince < evicted.idleSince || list[0].idleSince == evicted.idleSince && list[0].node < evicted.node) {
@@ -149,7 +149,7 @@
 }
 
 // Idle records that a connection has no request in flight.
-func (s *Set) Idle(now logic.Micros, node logic.NodeID, l *Line) {
+func (s *Set) Idle(now logic.Micros, node logic.NodeID, l *Conn) {
 	l.node, l.idleSince, l.idle = node, now, true
 	s.idleLines[node] = append(s.idleLines[node], l)
 }
@@ -157,7 +157,7 @@
 // Gone records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
 // overdue connection reports its closing once more; if that counted, the number of open connections would fall below
 // zero and their limit would not hold.
-func (s *Set) Gone(l *Line) {
+func (s *Set) Gone(l *Conn) {
 	if l.closed {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // Overdue removes and returns the next connection that was idle for too long, or nil.
-func (s *Set) Overdue(now logic.Micros) (overdue *Line) {
+func (s *Set) Overdue(now logic.Micros) (overdue *Conn) {
 	for _, list := range s.idleLines {
 		if l := list[0]; now-l.idleSince >= s.maxIdle && (overdue == nil || l.node < overdue.node) {
 			overdue = l
@@ -197,7 +197,7 @@
 // Free returns reserved bytes.
 func (s *Set) Free(bytes int) { s.answerBytes -= bytes }
 
-func (s *Set) removeIdle(l *Line) {
+func (s *Set) removeIdle(l *Conn) {
 	l.idle = false
 	list := s.idleLines[l.node]
 	for i, x := range list {
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -9,7 +9,7 @@
 
 func TestPick(t *testing.T) {
 	s := New(10, 0, 1000*ms)
-	var a, b Line
+	var a, b Conn
 	for range 2 {
 		s.Dial()
 	}
@@ -30,7 +30,7 @@
 // A connection that its target may close at any moment carries no further request, even if no sweep has closed it yet.
 func TestOldOnesCarryNothing(t *testing.T) {
 	s := New(10, 0, 1000*ms)
-	var a Line
+	var a Conn
 	s.Dial()
 	s.Idle(0, 1, &a)
 	if s.Pick(750*ms, 1) != nil {
@@ -46,7 +46,7 @@
 
 func TestBound(t *testing.T) {
 	s := New(2, 0, 1000*ms)
-	var a, b Line
+	var a, b Conn
 	s.Dial()
 	s.Dial()
 	if _, ok := s.Dial(); ok {
@@ -62,7 +62,7 @@
 func TestSparesAddUp(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	s := New(20, 0, 100*ms)
-	var out []*Line
+	var out []*Conn
 	now := logic.Micros(0)
 	for range 20000 {
 		now += logic.Micros(rng.Int64N(int64(5 * ms)))
@@ -70,7 +70,7 @@
 		if l := s.Pick(now, node); l != nil {
 			out = append(out, l)
 		} else if _, ok := s.Dial(); ok {
-			out = append(out, &Line{node: node})
+			out = append(out, &Conn{node: node})
 		}
 		for len(out) > 0 && rng.IntN(3) > 0 {
 			i := rng.IntN(len(out))
@@ -93,7 +93,7 @@
 // The owner of an evicted or overdue connection closes it and reports that once more.
 func TestGoneCountsOnce(t *testing.T) {
 	s := New(2, 0, 1000*ms)
-	var a, b, c Line
+	var a, b, c Conn
 	s.Dial()
 	s.Dial()
 	s.Idle(0, 1, &a)
@@ -127,7 +127,7 @@
 // Connections of an age class with many losses are not used; younger ones are, and after a while that class again.
 func TestAgesThatDoNotLast(t *testing.T) {
 	s := New(10, 0, 100000*ms)
-	var l Line
+	var l Conn
 	s.Dial()
 	now := logic.Micros(0)
 	use := func(idle logic.Micros, lost bool) bool {
