--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -43,7 +43,7 @@
 	sink     Sink
 
 	mu         sync.Mutex // never held during a call of the sink
-	spares     *spares.Set
+	spares     *spares.Pool
 	targets    map[logic.NodeID]core.Place
 	conns      map[*connection]struct{}
 	sweepTimer *time.Timer
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -53,8 +53,8 @@
 // ageClass returns the class of an idle time; the classes double from 1 ms on.
 func ageClass(d logic.Micros) int { return min(bits.Len64(uint64(max(d, 0)/ms)), ageClasses-1) }
 
-// Set holds the connections of one initiator to its targets.
-type Set struct {
+// Pool holds the connections of one initiator to its targets.
+type Pool struct {
 	maxOpen        int
 	maxAnswerBytes int // limit for answerBytes
 	answerBytes    int
@@ -73,12 +73,12 @@
 
 // New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together.
 // Targets close a connection that was idle for the given time.
-func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Set {
-	return &Set{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Conn{}}
+func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Pool {
+	return &Pool{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Conn{}}
 }
 
 // Open returns the number of connections, and how many of them are idle.
-func (s *Set) Open() (open, idle int) {
+func (s *Pool) Open() (open, idle int) {
 	for _, l := range s.idleLines {
 		idle += len(l)
 	}
@@ -87,7 +87,7 @@
 
 // Pick returns an idle connection for the node's next request, or nil if a new one is needed. Of the connections that
 // have settled it takes the one used last, so that the others reach their maximum idle time.
-func (s *Set) Pick(now logic.Micros, node logic.NodeID) *Conn {
+func (s *Pool) Pick(now logic.Micros, node logic.NodeID) *Conn {
 	list := s.idleLines[node]
 	for i := len(list) - 1; i >= 0; i-- {
 		if line := list[i]; now-line.idleSince >= settleTime && now-line.idleSince < s.maxIdle && s.usableAt(now, ageClass(now-line.idleSince)) {
@@ -101,7 +101,7 @@
 }
 
 // Ended records whether the last request on a connection was lost with the connection.
-func (s *Set) Ended(now logic.Micros, l *Conn, lost bool) {
+func (s *Pool) Ended(now logic.Micros, l *Conn, lost bool) {
 	if l.usedAgeClass == 0 {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // usableAt reports whether connections of the given age class are used.
-func (s *Set) usableAt(now logic.Micros, class int) bool {
+func (s *Pool) usableAt(now logic.Micros, class int) bool {
 	record := s.losses[class]
 	record.decay(now)
 	return record.lost < minLosses || record.lost <= maxLossShare*record.total
@@ -128,7 +128,7 @@
 
 // Dial reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest,
 // which the caller must close; ok is false if no connection is idle.
-func (s *Set) Dial() (evicted *Conn, ok bool) {
+func (s *Pool) Dial() (evicted *Conn, ok bool) {
 	if s.open >= s.maxOpen {
 		for _, list := range s.idleLines {
 			if len(list) > 0 && (evicted == nil || list[0].idleSince < evicted.idleSince || list[0].idleSince == evicted.idleSince && list[0].node < evicted.node) {
@@ -149,7 +149,7 @@
 }
 
 // Idle records that a connection has no request in flight.
-func (s *Set) Idle(now logic.Micros, node logic.NodeID, l *Conn) {
+func (s *Pool) Idle(now logic.Micros, node logic.NodeID, l *Conn) {
 	l.node, l.idleSince, l.idle = node, now, true
 	s.idleLines[node] = append(s.idleLines[node], l)
 }
@@ -157,7 +157,7 @@
 // Gone records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
 // overdue connection reports its closing once more; if that counted, the number of open connections would fall below
 // zero and their limit would not hold.
-func (s *Set) Gone(l *Conn) {
+func (s *Pool) Gone(l *Conn) {
 	if l.closed {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // Overdue removes and returns the next connection that was idle for too long, or nil.
-func (s *Set) Overdue(now logic.Micros) (overdue *Conn) {
+func (s *Pool) Overdue(now logic.Micros) (overdue *Conn) {
 	for _, list := range s.idleLines {
 		if l := list[0]; now-l.idleSince >= s.maxIdle && (overdue == nil || l.node < overdue.node) {
 			overdue = l
@@ -185,7 +185,7 @@
 // Hold reserves bytes for an answer of more than a few KiB. It returns false if all long answers together would exceed
 // their share of the memory. Harm: a target that announces long answers and sends nothing occupies the bytes until its
 // attempts time out.
-func (s *Set) Hold(bytes int) bool {
+func (s *Pool) Hold(bytes int) bool {
 	if s.answerBytes+bytes > s.maxAnswerBytes {
 		s.Tally.NoRoom++
 		return false
@@ -195,9 +195,9 @@
 }
 
 // Free returns reserved bytes.
-func (s *Set) Free(bytes int) { s.answerBytes -= bytes }
+func (s *Pool) Free(bytes int) { s.answerBytes -= bytes }
 
-func (s *Set) removeIdle(l *Conn) {
+func (s *Pool) removeIdle(l *Conn) {
 	l.idle = false
 	list := s.idleLines[l.node]
 	for i, x := range list {
