--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -435,7 +435,7 @@
 		b.tally.Surplus++
 	}
 	c.state, c.answeredAt = reported, b.sink.Now()
-	b.spares.Ended(c.answeredAt, &c.spare, false)
+	b.spares.RecordOutcome(c.answeredAt, &c.spare, false)
 	if b.settings.Trace != nil {
 		b.trace("end", c, strconv.Itoa(m.Status)+c.progress())
 	}
@@ -458,7 +458,7 @@
 		outcome = logic.Moot // the outcome says nothing about the target
 	}
 	if outcome != logic.Failed && !c.dropped {
-		b.spares.Ended(b.sink.Now(), &c.spare, true)
+		b.spares.RecordOutcome(b.sink.Now(), &c.spare, true)
 	}
 	if outcome != logic.Failed {
 		b.trace("end", c, "broke"+c.progress())
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Ended records whether the last request on a connection was lost with the connection.
-func (s *Pool) Ended(now logic.Micros, l *Conn, lost bool) {
+// RecordOutcome records whether the last request on a connection was lost with the connection.
+func (s *Pool) RecordOutcome(now logic.Micros, l *Conn, lost bool) {
 	if l.usedAgeClass == 0 {
 		return
 	}
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -138,7 +138,7 @@
 			s.removeIdle(&l)
 			return false
 		}
-		s.Ended(now, got, lost)
+		s.RecordOutcome(now, got, lost)
 		return true
 	}
 	for i := range 100 {
