--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -254,7 +254,7 @@
 	c.releaseAnswer()
 	if _, ok := b.conns[c]; ok {
 		delete(b.conns, c)
-		b.spares.Gone(&c.spare)
+		b.spares.MarkClosed(&c.spare)
 	}
 	if c.conn != nil {
 		c.conn.SetDiscardUnsent(c.state != idle) // an idle one has no unsent data and is closed normally
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -140,7 +140,7 @@
 			return nil, false
 		}
 		s.Tally.Displaced++
-		s.Gone(evicted)
+		s.MarkClosed(evicted)
 	}
 	s.open++
 	s.Tally.Opened++
@@ -154,10 +154,10 @@
 	s.idleLines[node] = append(s.idleLines[node], l)
 }
 
-// Gone records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
+// MarkClosed records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
 // overdue connection reports its closing once more; if that counted, the number of open connections would fall below
 // zero and their limit would not hold.
-func (s *Pool) Gone(l *Conn) {
+func (s *Pool) MarkClosed(l *Conn) {
 	if l.closed {
 		return
 	}
@@ -177,7 +177,7 @@
 	}
 	if overdue != nil {
 		s.Tally.Aged++
-		s.Gone(overdue)
+		s.MarkClosed(overdue)
 	}
 	return overdue
 }
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -77,7 +77,7 @@
 			l := out[i]
 			out = append(out[:i], out[i+1:]...)
 			if rng.IntN(4) == 0 {
-				s.Gone(l)
+				s.MarkClosed(l)
 			} else {
 				s.Idle(now, l.node, l)
 			}
@@ -99,14 +99,14 @@
 	s.Idle(0, 1, &a)
 	s.Idle(1, 1, &b)
 	out, _ := s.Dial()
-	s.Gone(out)
-	s.Gone(out)
+	s.MarkClosed(out)
+	s.MarkClosed(out)
 	s.Idle(2, 1, &c)
 	if open, idle := s.Open(); open != 2 || idle != 2 {
 		t.Fatalf("%d open, %d idle of two", open, idle)
 	}
 	for l := s.Overdue(2000 * ms); l != nil; l = s.Overdue(2000 * ms) {
-		s.Gone(l)
+		s.MarkClosed(l)
 	}
 	if open, idle := s.Open(); open != 0 || idle != 0 {
 		t.Fatalf("%d open, %d idle of none", open, idle)
