--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -221,7 +221,7 @@
 				b.close(c)
 			} else {
 				c.state = idle
-				b.spares.Idle(now, c.target.Node, &c.spare)
+				b.spares.MarkIdle(now, c.target.Node, &c.spare)
 			}
 		}
 	}
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -148,8 +148,8 @@
 	return evicted, true
 }
 
-// Idle records that a connection has no request in flight.
-func (s *Pool) Idle(now logic.Micros, node logic.NodeID, l *Conn) {
+// MarkIdle records that a connection has no request in flight.
+func (s *Pool) MarkIdle(now logic.Micros, node logic.NodeID, l *Conn) {
 	l.node, l.idleSince, l.idle = node, now, true
 	s.idleLines[node] = append(s.idleLines[node], l)
 }
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -13,15 +13,15 @@
 	for range 2 {
 		s.Dial()
 	}
-	s.Idle(0, 1, &a)
-	s.Idle(30*ms, 1, &b)
+	s.MarkIdle(0, 1, &a)
+	s.MarkIdle(30*ms, 1, &b)
 	if s.Pick(31*ms, 2) != nil {
 		t.Fatal("picked a connection of another node")
 	}
 	if got := s.Pick(31*ms, 1); got != &a {
 		t.Fatal("want a, which has settled; b has not")
 	}
-	s.Idle(32*ms, 1, &a)
+	s.MarkIdle(32*ms, 1, &a)
 	if s.Pick(60*ms, 1) != &a || s.Pick(60*ms, 1) != &b || s.Pick(60*ms, 1) != nil {
 		t.Fatal("want the connection used last first")
 	}
@@ -32,7 +32,7 @@
 	s := New(10, 0, 1000*ms)
 	var a Conn
 	s.Dial()
-	s.Idle(0, 1, &a)
+	s.MarkIdle(0, 1, &a)
 	if s.Pick(750*ms, 1) != nil {
 		t.Fatal("picked a connection that its target may close during the write")
 	}
@@ -52,8 +52,8 @@
 	if _, ok := s.Dial(); ok {
 		t.Fatal("opened more connections than the limit")
 	}
-	s.Idle(5, 1, &a)
-	s.Idle(4, 2, &b)
+	s.MarkIdle(5, 1, &a)
+	s.MarkIdle(4, 2, &b)
 	if out, ok := s.Dial(); !ok || out != &b {
 		t.Fatal("want the connection idle for longest evicted")
 	}
@@ -79,7 +79,7 @@
 			if rng.IntN(4) == 0 {
 				s.MarkClosed(l)
 			} else {
-				s.Idle(now, l.node, l)
+				s.MarkIdle(now, l.node, l)
 			}
 		}
 		for s.Overdue(now) != nil {
@@ -96,12 +96,12 @@
 	var a, b, c Conn
 	s.Dial()
 	s.Dial()
-	s.Idle(0, 1, &a)
-	s.Idle(1, 1, &b)
+	s.MarkIdle(0, 1, &a)
+	s.MarkIdle(1, 1, &b)
 	out, _ := s.Dial()
 	s.MarkClosed(out)
 	s.MarkClosed(out)
-	s.Idle(2, 1, &c)
+	s.MarkIdle(2, 1, &c)
 	if open, idle := s.Open(); open != 2 || idle != 2 {
 		t.Fatalf("%d open, %d idle of two", open, idle)
 	}
@@ -131,7 +131,7 @@
 	s.Dial()
 	now := logic.Micros(0)
 	use := func(idle logic.Micros, lost bool) bool {
-		s.Idle(now, 1, &l)
+		s.MarkIdle(now, 1, &l)
 		now += idle
 		got := s.Pick(now, 1)
 		if got == nil {
