--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -142,7 +142,7 @@
 	target, hasCapacity := b.targets[a.Node], false
 	if target.Takes && !b.closed {
 		var evicted *spares.Conn
-		if evicted, hasCapacity = b.spares.Dial(); evicted != nil {
+		if evicted, hasCapacity = b.spares.Reserve(); evicted != nil {
 			b.close(evicted.Owner.(*connection))
 		}
 	}
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -126,9 +126,9 @@
 	return record.lost < minLosses || record.lost <= maxLossShare*record.total
 }
 
-// Dial reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest,
+// Reserve reserves a place for a new connection. If there is none, it evicts the connection that was idle for longest,
 // which the caller must close; ok is false if no connection is idle.
-func (s *Pool) Dial() (evicted *Conn, ok bool) {
+func (s *Pool) Reserve() (evicted *Conn, ok bool) {
 	if s.open >= s.maxOpen {
 		for _, list := range s.idleLines {
 			if len(list) > 0 && (evicted == nil || list[0].idleSince < evicted.idleSince || list[0].idleSince == evicted.idleSince && list[0].node < evicted.node) {
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -11,7 +11,7 @@
 	s := New(10, 0, 1000*ms)
 	var a, b Conn
 	for range 2 {
-		s.Dial()
+		s.Reserve()
 	}
 	s.MarkIdle(0, 1, &a)
 	s.MarkIdle(30*ms, 1, &b)
@@ -31,7 +31,7 @@
 func TestOldOnesCarryNothing(t *testing.T) {
 	s := New(10, 0, 1000*ms)
 	var a Conn
-	s.Dial()
+	s.Reserve()
 	s.MarkIdle(0, 1, &a)
 	if s.Pick(750*ms, 1) != nil {
 		t.Fatal("picked a connection that its target may close during the write")
@@ -47,14 +47,14 @@
 func TestBound(t *testing.T) {
 	s := New(2, 0, 1000*ms)
 	var a, b Conn
-	s.Dial()
-	s.Dial()
-	if _, ok := s.Dial(); ok {
+	s.Reserve()
+	s.Reserve()
+	if _, ok := s.Reserve(); ok {
 		t.Fatal("opened more connections than the limit")
 	}
 	s.MarkIdle(5, 1, &a)
 	s.MarkIdle(4, 2, &b)
-	if out, ok := s.Dial(); !ok || out != &b {
+	if out, ok := s.Reserve(); !ok || out != &b {
 		t.Fatal("want the connection idle for longest evicted")
 	}
 }
@@ -69,7 +69,7 @@
 		node := logic.NodeID(rng.IntN(6))
 		if l := s.Pick(now, node); l != nil {
 			out = append(out, l)
-		} else if _, ok := s.Dial(); ok {
+		} else if _, ok := s.Reserve(); ok {
 			out = append(out, &Conn{node: node})
 		}
 		for len(out) > 0 && rng.IntN(3) > 0 {
@@ -94,11 +94,11 @@
 func TestGoneCountsOnce(t *testing.T) {
 	s := New(2, 0, 1000*ms)
 	var a, b, c Conn
-	s.Dial()
-	s.Dial()
+	s.Reserve()
+	s.Reserve()
 	s.MarkIdle(0, 1, &a)
 	s.MarkIdle(1, 1, &b)
-	out, _ := s.Dial()
+	out, _ := s.Reserve()
 	s.MarkClosed(out)
 	s.MarkClosed(out)
 	s.MarkIdle(2, 1, &c)
@@ -128,7 +128,7 @@
 func TestAgesThatDoNotLast(t *testing.T) {
 	s := New(10, 0, 100000*ms)
 	var l Conn
-	s.Dial()
+	s.Reserve()
 	now := logic.Micros(0)
 	use := func(idle logic.Micros, lost bool) bool {
 		s.MarkIdle(now, 1, &l)
