--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -374,7 +374,7 @@
 func (c *connection) reserveAnswer(n int) bool {
 	c.back.mu.Lock()
 	defer c.back.mu.Unlock()
-	if c.state != busy || !c.back.spares.Hold(n) {
+	if c.state != busy || !c.back.spares.ReserveBytes(n) {
 		return false
 	}
 	c.reserved = n
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -182,10 +182,10 @@
 	return overdue
 }
 
-// Hold reserves bytes for an answer of more than a few KiB. It returns false if all long answers together would exceed
+// ReserveBytes reserves bytes for an answer of more than a few KiB. It returns false if all long answers together would exceed
 // their share of the memory. Harm: a target that announces long answers and sends nothing occupies the bytes until its
 // attempts time out.
-func (s *Pool) Hold(bytes int) bool {
+func (s *Pool) ReserveBytes(bytes int) bool {
 	if s.answerBytes+bytes > s.maxAnswerBytes {
 		s.Tally.NoRoom++
 		return false
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -115,11 +115,11 @@
 
 func TestRoomForLongAnswers(t *testing.T) {
 	s := New(2, 150, 1000*ms)
-	if !s.Hold(100) || s.Hold(100) || !s.Hold(50) {
+	if !s.ReserveBytes(100) || s.ReserveBytes(100) || !s.ReserveBytes(50) {
 		t.Fatal("reserved bytes do not follow the limit")
 	}
 	s.Free(100)
-	if !s.Hold(100) || s.Tally.NoRoom != 1 {
+	if !s.ReserveBytes(100) || s.Tally.NoRoom != 1 {
 		t.Fatal("returned bytes are not available")
 	}
 }
