--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -382,7 +382,7 @@
 }
 
 func (c *connection) releaseAnswer() {
-	c.back.spares.Free(c.reserved)
+	c.back.spares.FreeBytes(c.reserved)
 	c.reserved = 0
 }
 
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -194,8 +194,8 @@
 	return true
 }
 
-// Free returns reserved bytes.
-func (s *Pool) Free(bytes int) { s.answerBytes -= bytes }
+// FreeBytes returns reserved bytes.
+func (s *Pool) FreeBytes(bytes int) { s.answerBytes -= bytes }
 
 func (s *Pool) removeIdle(l *Conn) {
 	l.idle = false
--- a/spares/spares_test.go
+++ b/spares/spares_test.go
@@ -118,7 +118,7 @@
 	if !s.ReserveBytes(100) || s.ReserveBytes(100) || !s.ReserveBytes(50) {
 		t.Fatal("reserved bytes do not follow the limit")
 	}
-	s.Free(100)
+	s.FreeBytes(100)
 	if !s.ReserveBytes(100) || s.Tally.NoRoom != 1 {
 		t.Fatal("returned bytes are not available")
 	}
