--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -70,7 +70,7 @@
 	}
 	conn.SetDeadline(time.Time{})
 	q.run(ctx, g)
-	g.Go(func() error { return d.listen(ctx, setup, session, q, func() { link.Up(d.Now()) }) })
+	g.Go(func() error { return d.listen(ctx, setup, session, q, func() { link.Connected(d.Now()) }) })
 	err = g.Wait()
 	conn.Close()
 	q.sweep()
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -203,7 +203,7 @@
 		cancel()
 		n.Counts.Connections.Add(1)
 		n.linkMu.Lock()
-		n.link.Up(n.cfg.Now())
+		n.link.Connected(n.cfg.Now())
 		n.linkMu.Unlock()
 		n.session.Store(s)
 		n.hasTried()
--- a/links/links.go
+++ b/links/links.go
@@ -61,8 +61,8 @@
 // DialAt returns the earliest time of the next dial.
 func (l *Link) DialAt() logic.Micros { return l.dialAt }
 
-// Up records that the connection is set up and takes commands.
-func (l *Link) Up(now logic.Micros) {
+// Connected records that the connection is set up and takes commands.
+func (l *Link) Connected(now logic.Micros) {
 	l.connected, l.connectedAt, l.lastReceived, l.strays = true, now, now, l.strays[:0]
 }
 
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -17,7 +17,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = max(now, l.DialAt())
 			if rapid.Bool().Draw(t, "reached") {
-				l.Up(now)
+				l.Connected(now)
 				stood := logic.Micros(rapid.IntRange(0, int(2*stableAfter)).Draw(t, "stood"))
 				if now += stood; stood >= stableAfter {
 					fails = 0
@@ -34,7 +34,7 @@
 
 func TestGiveUp(t *testing.T) {
 	l := New(10*sec, 1)
-	l.Up(0)
+	l.Connected(0)
 	for _, c := range []struct {
 		now  logic.Micros
 		lost Lost
@@ -63,7 +63,7 @@
 
 func TestStrays(t *testing.T) {
 	l := New(0, 1)
-	l.Up(0)
+	l.Connected(0)
 	for i := range maxStrays {
 		if l.Stray(logic.Micros(i)) {
 			t.Fatalf("gave up after %d", i+1)
