--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -45,7 +45,7 @@
 			return nil
 		}
 		d.Log.Warn("directory lost", zap.String("address", d.Address), zap.Error(err))
-		link.Down(d.Now())
+		link.Disconnected(d.Now())
 	}
 }
 
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -136,7 +136,7 @@
 		}
 		n.watch.Lost(n.cfg.ID, err)
 		n.linkMu.Lock()
-		n.link.Down(n.cfg.Now())
+		n.link.Disconnected(n.cfg.Now())
 		n.linkMu.Unlock()
 	}
 }
--- a/links/links.go
+++ b/links/links.go
@@ -66,9 +66,9 @@
 	l.connected, l.connectedAt, l.lastReceived, l.strays = true, now, now, l.strays[:0]
 }
 
-// Down records that the node could not be reached or that the connection is gone, and returns the time of the next
+// Disconnected records that the node could not be reached or that the connection is gone, and returns the time of the next
 // dial.
-func (l *Link) Down(now logic.Micros) logic.Micros {
+func (l *Link) Disconnected(now logic.Micros) logic.Micros {
 	if l.connected && now-l.connectedAt >= stableAfter {
 		l.failures = 0
 	}
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -24,7 +24,7 @@
 				}
 			}
 			want := min(minBackoff<<min(fails, 10), maxBackoff)
-			if p := l.Down(now) - now; p < want/2 || p > want {
+			if p := l.Disconnected(now) - now; p < want/2 || p > want {
 				t.Fatalf("backoff of %d after %d failures, want %d to %d", p, fails, want/2, want)
 			}
 			fails++
