--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -542,7 +542,7 @@
 
 func (n *Node) heard() {
 	n.linkMu.Lock()
-	n.link.Heard(n.cfg.Now())
+	n.link.Received(n.cfg.Now())
 	n.linkMu.Unlock()
 }
 
--- a/links/links.go
+++ b/links/links.go
@@ -79,8 +79,8 @@
 	return l.dialAt
 }
 
-// Heard records that something was received from the node.
-func (l *Link) Heard(now logic.Micros) { l.lastReceived = now }
+// Received records that something was received from the node.
+func (l *Link) Received(now logic.Micros) { l.lastReceived = now }
 
 // Stray records an answer that belongs to no command and reports whether the connection must be given up.
 func (l *Link) Stray(now logic.Micros) (giveUp bool) {
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -49,7 +49,7 @@
 		{maxLostAge, Lost{Places: 64, Taken: 1, Oldest: 2 * sec}, true}, // not yet too long
 	} {
 		if l.lastReceived = 0; c.now >= maxLostAge {
-			l.Heard(c.now - 1)
+			l.Received(c.now - 1)
 		}
 		v, next := l.Look(c.now, c.lost)
 		if (v == "") != c.up {
