--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -514,7 +514,7 @@
 			}
 		}
 		n.linkMu.Lock()
-		verdict, next := n.link.Look(now, lost)
+		verdict, next := n.link.Check(now, lost)
 		keep = n.link.KeepAlive(last)
 		n.linkMu.Unlock()
 		if verdict != "" {
--- a/links/links.go
+++ b/links/links.go
@@ -104,8 +104,8 @@
 // Verdict is the reason to give a connection up; it is empty if the connection stays.
 type Verdict string
 
-// Look checks the connection. It must be called again no later than at the time it returns.
-func (l *Link) Look(now logic.Micros, lost Lost) (verdict Verdict, next logic.Micros) {
+// Check checks the connection. It must be called again no later than at the time it returns.
+func (l *Link) Check(now logic.Micros, lost Lost) (verdict Verdict, next logic.Micros) {
 	if !l.connected {
 		return "", now + sec
 	}
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -51,7 +51,7 @@
 		if l.lastReceived = 0; c.now >= maxLostAge {
 			l.Received(c.now - 1)
 		}
-		v, next := l.Look(c.now, c.lost)
+		v, next := l.Check(c.now, c.lost)
 		if (v == "") != c.up {
 			t.Errorf("at %d with %+v: %q", c.now, c.lost, v)
 		}
