--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -515,7 +515,7 @@
 		}
 		n.linkMu.Lock()
 		verdict, next := n.link.Check(now, lost)
-		keep = n.link.KeepAlive(last)
+		keep = n.link.NextKeepAlive(last)
 		n.linkMu.Unlock()
 		if verdict != "" {
 			return fmt.Errorf("nvme: given up: %s", verdict)
--- a/links/links.go
+++ b/links/links.go
@@ -125,8 +125,8 @@
 	return "", next
 }
 
-// KeepAlive returns when the next keep-alive is due after one that was sent at the given time.
-func (l *Link) KeepAlive(last logic.Micros) logic.Micros { return last + l.keepAlive/2 }
+// NextKeepAlive returns when the next keep-alive is due after one that was sent at the given time.
+func (l *Link) NextKeepAlive(last logic.Micros) logic.Micros { return last + l.keepAlive/2 }
 
 // Pick chooses the queue for a command: the one with the fewest commands in flight, below the given depth; -1 if all
 // are full. Of equal queues the lowest number wins, so that a quiet node uses one connection.
