--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -505,7 +505,7 @@
 				alive = t.reply
 			}
 		}
-		lost := links.Lost{}
+		lost := links.LostIDs{}
 		for _, q := range s.queues {
 			l, places, oldest := q.lostNow()
 			lost.Taken, lost.Places = lost.Taken+l, lost.Places+places
--- a/links/links.go
+++ b/links/links.go
@@ -94,9 +94,9 @@
 	return len(l.strays) > maxStrays
 }
 
-// Lost describes the command ids whose answers are no longer waited for: how many ids the queue has, how many of them
+// LostIDs describes the command ids whose answers are no longer waited for: how many ids the queue has, how many of them
 // are lost, and when the oldest of those was sent; 0: none.
-type Lost struct {
+type LostIDs struct {
 	Places, Taken int
 	Oldest        logic.Micros
 }
@@ -105,7 +105,7 @@
 type Verdict string
 
 // Check checks the connection. It must be called again no later than at the time it returns.
-func (l *Link) Check(now logic.Micros, lost Lost) (verdict Verdict, next logic.Micros) {
+func (l *Link) Check(now logic.Micros, lost LostIDs) (verdict Verdict, next logic.Micros) {
 	if !l.connected {
 		return "", now + sec
 	}
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -37,16 +37,16 @@
 	l.Connected(0)
 	for _, c := range []struct {
 		now  logic.Micros
-		lost Lost
+		lost LostIDs
 		up   bool
 	}{
-		{9 * sec, Lost{}, true},
-		{10 * sec, Lost{}, false},                                       // silent
-		{sec, Lost{Places: 64, Taken: 31, Oldest: 1}, true},             // a few lost ids are tolerated
-		{sec, Lost{Places: 64, Taken: 32, Oldest: 1}, false},            // half of the queue
-		{9 * sec, Lost{Places: 64, Taken: 1, Oldest: 1}, true},          // one lost id, for a while
-		{maxLostAge + 1, Lost{Places: 64, Taken: 1, Oldest: 1}, false},  // one lost id for too long
-		{maxLostAge, Lost{Places: 64, Taken: 1, Oldest: 2 * sec}, true}, // not yet too long
+		{9 * sec, LostIDs{}, true},
+		{10 * sec, LostIDs{}, false},                                       // silent
+		{sec, LostIDs{Places: 64, Taken: 31, Oldest: 1}, true},             // a few lost ids are tolerated
+		{sec, LostIDs{Places: 64, Taken: 32, Oldest: 1}, false},            // half of the queue
+		{9 * sec, LostIDs{Places: 64, Taken: 1, Oldest: 1}, true},          // one lost id, for a while
+		{maxLostAge + 1, LostIDs{Places: 64, Taken: 1, Oldest: 1}, false},  // one lost id for too long
+		{maxLostAge, LostIDs{Places: 64, Taken: 1, Oldest: 2 * sec}, true}, // not yet too long
 	} {
 		if l.lastReceived = 0; c.now >= maxLostAge {
 			l.Received(c.now - 1)
