--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -508,7 +508,7 @@
 		lost := links.LostIDs{}
 		for _, q := range s.queues {
 			l, places, oldest := q.lostNow()
-			lost.Taken, lost.Capacity = lost.Taken+l, lost.Capacity+places
+			lost.Count, lost.Capacity = lost.Count+l, lost.Capacity+places
 			if oldest > 0 && (lost.Oldest == 0 || oldest < lost.Oldest) {
 				lost.Oldest = oldest
 			}
--- a/links/links.go
+++ b/links/links.go
@@ -97,7 +97,7 @@
 // LostIDs describes the command ids whose answers are no longer waited for: how many ids the queue has, how many of them
 // are lost, and when the oldest of those was sent; 0: none.
 type LostIDs struct {
-	Capacity, Taken int
+	Capacity, Count int
 	Oldest          logic.Micros
 }
 
@@ -113,7 +113,7 @@
 	switch {
 	case l.keepAlive > 0 && now-l.lastReceived >= silenceLimit:
 		return "nothing was heard for the keep-alive time", 0
-	case lost.Taken > 0 && float64(lost.Taken) >= maxLostShare*float64(lost.Capacity):
+	case lost.Count > 0 && float64(lost.Count) >= maxLostShare*float64(lost.Capacity):
 		return "commands without an answer take half of the queue", 0
 	case lost.Oldest > 0 && now-lost.Oldest >= maxLostAge:
 		return "a command has had no answer for too long", 0
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -42,11 +42,11 @@
 	}{
 		{9 * sec, LostIDs{}, true},
 		{10 * sec, LostIDs{}, false},                                         // silent
-		{sec, LostIDs{Capacity: 64, Taken: 31, Oldest: 1}, true},             // a few lost ids are tolerated
-		{sec, LostIDs{Capacity: 64, Taken: 32, Oldest: 1}, false},            // half of the queue
-		{9 * sec, LostIDs{Capacity: 64, Taken: 1, Oldest: 1}, true},          // one lost id, for a while
-		{maxLostAge + 1, LostIDs{Capacity: 64, Taken: 1, Oldest: 1}, false},  // one lost id for too long
-		{maxLostAge, LostIDs{Capacity: 64, Taken: 1, Oldest: 2 * sec}, true}, // not yet too long
+		{sec, LostIDs{Capacity: 64, Count: 31, Oldest: 1}, true},             // a few lost ids are tolerated
+		{sec, LostIDs{Capacity: 64, Count: 32, Oldest: 1}, false},            // half of the queue
+		{9 * sec, LostIDs{Capacity: 64, Count: 1, Oldest: 1}, true},          // one lost id, for a while
+		{maxLostAge + 1, LostIDs{Capacity: 64, Count: 1, Oldest: 1}, false},  // one lost id for too long
+		{maxLostAge, LostIDs{Capacity: 64, Count: 1, Oldest: 2 * sec}, true}, // not yet too long
 	} {
 		if l.lastReceived = 0; c.now >= maxLostAge {
 			l.Received(c.now - 1)
