--- a/bounds/bounds.go
+++ b/bounds/bounds.go
@@ -23,13 +23,13 @@
 
 // Bounds holds the limits of the parts of a process.
 type Bounds struct {
-	Seats    int   // client connections
-	Requests int   // requests held at once
-	Lines    int   // connections to targets
-	Heap     int64 // in bytes, as Bodies and Answers
-	Bodies   int
-	Answers  int
-	Cores    int // threads that may run; 0: as many as the machine has cores
+	Seats       int   // client connections
+	Requests    int   // requests held at once
+	TargetConns int   // connections to targets
+	Heap        int64 // in bytes, as Bodies and Answers
+	Bodies      int
+	Answers     int
+	Cores       int // threads that may run; 0: as many as the machine has cores
 }
 
 // For returns the limits for the given grants; 0 means that a grant is not stated.
@@ -42,7 +42,7 @@
 	}
 	descriptors, memory := float64(sockets), memoryMB*(1<<20)
 	return Bounds{
-		Seats: int(clientShare * descriptors), Requests: int((1 - requestReserve) * requestShare * descriptors), Lines: int(targetShare * descriptors),
+		Seats: int(clientShare * descriptors), Requests: int((1 - requestReserve) * requestShare * descriptors), TargetConns: int(targetShare * descriptors),
 		Heap: int64(heapShare * memory), Bodies: int(bodyShare * memory), Answers: int(answerShare * memory),
 		Cores: int(math.Ceil(cores)),
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -70,7 +70,7 @@
 	in := &Initiator{cfg: cfg, bounds: b, env: env, log: log}
 	in.shell = core.NewShell(c, cfg.Logic.Tick/stepsPerTick, log)
 	in.back = target.New(target.Settings{
-		MaxConnections: b.Lines, MaxAnswerBytes: b.Answers, IdleTimeout: logic.Micros(s.Limits.ConnIdleUs),
+		MaxConnections: b.TargetConns, MaxAnswerBytes: b.Answers, IdleTimeout: logic.Micros(s.Limits.ConnIdleUs),
 		ConnectTimeout: time.Duration(s.Limits.ConnectTimeoutUs) * time.Microsecond, LoadFields: target.NewLoadFields(s.Report.Fields),
 		Trace: tr,
 	}, in.shell)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -89,7 +89,7 @@
 		s.served(p, "look")
 	}
 	open, _ := s.in.back.ConnectionCounts()
-	if ta := s.in.back.Tally(); target.count() != 65 || ta.Dialled != before || open > s.in.bounds.Lines {
+	if ta := s.in.back.Tally(); target.count() != 65 || ta.Dialled != before || open > s.in.bounds.TargetConns {
 		t.Fatalf("%d requests, %d connections, %d dialled once all had rested", target.count(), open, ta.Dialled-before)
 	}
 	if ta, _ := s.in.shell.Tally(); ta.Answers[0] != 65 || ta.Entries != 0 || ta.Out != 0 {
