--- a/bounds/bounds.go
+++ b/bounds/bounds.go
@@ -23,7 +23,7 @@
 
 // Bounds holds the limits of the parts of a process.
 type Bounds struct {
-	Seats       int   // client connections
+	ClientConns int   // client connections
 	Requests    int   // requests held at once
 	TargetConns int   // connections to targets
 	Heap        int64 // in bytes, as Bodies and Answers
@@ -42,7 +42,7 @@
 	}
 	descriptors, memory := float64(sockets), memoryMB*(1<<20)
 	return Bounds{
-		Seats: int(clientShare * descriptors), Requests: int((1 - requestReserve) * requestShare * descriptors), TargetConns: int(targetShare * descriptors),
+		ClientConns: int(clientShare * descriptors), Requests: int((1 - requestReserve) * requestShare * descriptors), TargetConns: int(targetShare * descriptors),
 		Heap: int64(heapShare * memory), Bodies: int(bodyShare * memory), Answers: int(answerShare * memory),
 		Cores: int(math.Ceil(cores)),
 	}
--- a/bounds/bounds_test.go
+++ b/bounds/bounds_test.go
@@ -8,7 +8,7 @@
 	for _, sockets := range []int{256, 384, 1024} {
 		for _, mb := range []float64{32, 48, 192} {
 			b := For(0.2, mb, sockets)
-			if b.Requests < 1 || b.Requests >= sockets/3 || b.Requests >= b.Seats || b.Seats+b.TargetConns > sockets*3/4 {
+			if b.Requests < 1 || b.Requests >= sockets/3 || b.Requests >= b.ClientConns || b.ClientConns+b.TargetConns > sockets*3/4 {
 				t.Errorf("%d descriptors: %+v", sockets, b)
 			}
 			if b.Bodies < 16*longest || b.Answers < 16*longest || int64(b.Bodies+b.Answers) > b.Heap/2 || float64(b.Heap) > mb*(1<<20)*2/3 || b.Cores != 1 {
@@ -16,7 +16,7 @@
 			}
 		}
 	}
-	if b := For(0, 0, 0); b.Seats != defaultSockets/2 || b.Heap <= 0 || b.Cores != 0 {
+	if b := For(0, 0, 0); b.ClientConns != defaultSockets/2 || b.Heap <= 0 || b.Cores != 0 {
 		t.Errorf("no grants: %+v", b)
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -88,7 +88,7 @@
 	for i, x := range s.ServiceLevels {
 		service.Plans[x.Name] = i
 	}
-	table := seats.New(seats.Limits{Seats: b.Seats, Open: s.Limits.OpenCap, Held: b.Requests, Bodies: b.Bodies})
+	table := seats.New(seats.Limits{Seats: b.ClientConns, Open: s.Limits.OpenCap, Held: b.Requests, Bodies: b.Bodies})
 	longest := logic.Micros(0)
 	for _, x := range cfg.Logic.Classes {
 		longest = max(longest, x.Deadline)
