--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -41,7 +41,7 @@
 
 	mu         sync.Mutex // never held during a call of the handler
 	seats      *seats.Table
-	shutdown   *leave.Leave
+	shutdown   *leave.Shutdown
 	openIDs    map[uint64]struct{} // hashes of the ids of requests that the handler has not answered
 	tally      Tally
 	sweepTimer *time.Timer
@@ -66,7 +66,7 @@
 const sweepInterval = 100 * time.Millisecond
 
 // New returns a front for the clients of listener. [Front.Serve] accepts connections.
-func New(listener net.Listener, settings *RequestSettings, handler RequestHandler, table *seats.Table, shutdown *leave.Leave, log *zap.Logger) *Front {
+func New(listener net.Listener, settings *RequestSettings, handler RequestHandler, table *seats.Table, shutdown *leave.Shutdown, log *zap.Logger) *Front {
 	f := &Front{listener: listener, settings: settings, handler: handler, seats: table, shutdown: shutdown, log: log, openIDs: map[uint64]struct{}{}, hashSeed: maphash.MakeSeed(), wakeUp: make(chan struct{})}
 	f.sweepTimer = time.AfterFunc(sweepInterval, f.sweep)
 	f.reportCapacity()
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -24,29 +24,29 @@
 	LastLook = 40 * ms
 )
 
-// Leave is the state of a shutdown. startedAt is valid only once started is set.
-type Leave struct {
+// Shutdown is the state of a shutdown. startedAt is valid only once started is set.
+type Shutdown struct {
 	longest   logic.Micros // longest deadline of any request
 	startedAt logic.Micros
 	started   bool
 }
 
 // New returns a Leave for requests with the given longest deadline.
-func New(longest logic.Micros) *Leave { return &Leave{longest: min(longest, maxDeadline)} }
+func New(longest logic.Micros) *Shutdown { return &Shutdown{longest: min(longest, maxDeadline)} }
 
 // Told starts the shutdown; further calls have no effect.
-func (l *Leave) Told(now logic.Micros) {
+func (l *Shutdown) Told(now logic.Micros) {
 	if !l.started {
 		l.started, l.startedAt = true, now
 	}
 }
 
 // Till returns the time by which the last answer must be sent.
-func (l *Leave) Till() logic.Micros { return l.startedAt + l.longest + killGrace - answerMargin }
+func (l *Shutdown) Till() logic.Micros { return l.startedAt + l.longest + killGrace - answerMargin }
 
 // Room limits the time left of a request that arrives now. It returns false if the request must be refused and its
 // connection closed.
-func (l *Leave) Room(now, timeLeft logic.Micros) (logic.Micros, bool) {
+func (l *Shutdown) Room(now, timeLeft logic.Micros) (logic.Micros, bool) {
 	if !l.started {
 		return timeLeft, true
 	}
@@ -56,10 +56,10 @@
 
 // Last reports whether a connection closes after its next answer. That is so only near the end, because clients that
 // lose their connection have nowhere to go until the process is back.
-func (l *Leave) Last(now logic.Micros) bool { return l.started && now >= l.Till()-minTimeLeft }
+func (l *Shutdown) Last(now logic.Micros) bool { return l.started && now >= l.Till()-minTimeLeft }
 
 // Over reports whether the process may exit, given the numbers of connections and requests that it still holds.
-func (l *Leave) Over(now logic.Micros, connections, requests int) bool {
+func (l *Shutdown) Over(now logic.Micros, connections, requests int) bool {
 	if !l.started || now < l.startedAt+acceptTime {
 		return false
 	}
