--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -121,7 +121,7 @@
 // Drain begins the shutdown. The front goes on serving until [Front.Drained] reports true.
 func (f *Front) Drain() {
 	f.mu.Lock()
-	f.shutdown.Told(f.handler.Now())
+	f.shutdown.Start(f.handler.Now())
 	f.seats.BeginShutdown()
 	close(f.wakeUp)
 	f.wakeUp = make(chan struct{})
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -34,8 +34,8 @@
 // New returns a Leave for requests with the given longest deadline.
 func New(longest logic.Micros) *Shutdown { return &Shutdown{longest: min(longest, maxDeadline)} }
 
-// Told starts the shutdown; further calls have no effect.
-func (l *Shutdown) Told(now logic.Micros) {
+// Start starts the shutdown; further calls have no effect.
+func (l *Shutdown) Start(now logic.Micros) {
 	if !l.started {
 		l.started, l.startedAt = true, now
 	}
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -11,8 +11,8 @@
 	if p, ok := l.Room(5, 9*sec); p != 9*sec || !ok || l.Last(5) || l.Over(5, 0, 0) {
 		t.Fatal("limits before the shutdown has started")
 	}
-	l.Told(10 * sec)
-	l.Told(11 * sec) // a second call has no effect
+	l.Start(10 * sec)
+	l.Start(11 * sec) // a second call has no effect
 	till := 10*sec + 2500*ms + killGrace - answerMargin
 	if p, ok := l.Room(10*sec, 2500*ms); p != 2500*ms || !ok {
 		t.Fatal("a request that arrives at once does not have its whole time:", p)
@@ -37,7 +37,7 @@
 		}
 	}
 	long := New(60 * sec)
-	long.Told(sec)
+	long.Start(sec)
 	if p, ok := long.Room(sec, 60*sec); !ok || p >= maxDeadline+killGrace {
 		t.Fatal("a longer deadline must not delay the kill:", p)
 	}
@@ -46,7 +46,7 @@
 // The latest exit and LastLook together end before the kill.
 func TestLastLookFits(t *testing.T) {
 	l := New(3 * sec)
-	l.Told(0)
+	l.Start(0)
 	end := logic.Micros(0)
 	for end = l.Till() - ms; !l.Over(end, 1, 1); end += ms {
 	}
