--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -125,7 +125,7 @@
 	f.seats.BeginShutdown()
 	close(f.wakeUp)
 	f.wakeUp = make(chan struct{})
-	connections, deadline := f.seats.Taken(), f.shutdown.Till()
+	connections, deadline := f.seats.Taken(), f.shutdown.Deadline()
 	f.mu.Unlock()
 	f.handler.End(deadline)
 	f.reportCapacity()
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Till returns the time by which the last answer must be sent.
-func (l *Shutdown) Till() logic.Micros { return l.startedAt + l.longest + killGrace - answerMargin }
+// Deadline returns the time by which the last answer must be sent.
+func (l *Shutdown) Deadline() logic.Micros { return l.startedAt + l.longest + killGrace - answerMargin }
 
 // Room limits the time left of a request that arrives now. It returns false if the request must be refused and its
 // connection closed.
@@ -50,18 +50,18 @@
 	if !l.started {
 		return timeLeft, true
 	}
-	remaining := l.Till() - now
+	remaining := l.Deadline() - now
 	return min(timeLeft, remaining), remaining >= minTimeLeft
 }
 
 // Last reports whether a connection closes after its next answer. That is so only near the end, because clients that
 // lose their connection have nowhere to go until the process is back.
-func (l *Shutdown) Last(now logic.Micros) bool { return l.started && now >= l.Till()-minTimeLeft }
+func (l *Shutdown) Last(now logic.Micros) bool { return l.started && now >= l.Deadline()-minTimeLeft }
 
 // Over reports whether the process may exit, given the numbers of connections and requests that it still holds.
 func (l *Shutdown) Over(now logic.Micros, connections, requests int) bool {
 	if !l.started || now < l.startedAt+acceptTime {
 		return false
 	}
-	return connections == 0 || now >= l.Till() && requests == 0 || now >= l.Till()+answerMargin/2
+	return connections == 0 || now >= l.Deadline() && requests == 0 || now >= l.Deadline()+answerMargin/2
 }
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -48,7 +48,7 @@
 	l := New(3 * sec)
 	l.Start(0)
 	end := logic.Micros(0)
-	for end = l.Till() - ms; !l.Over(end, 1, 1); end += ms {
+	for end = l.Deadline() - ms; !l.Over(end, 1, 1); end += ms {
 	}
 	if end+LastLook >= 3*sec+killGrace {
 		t.Fatalf("exits at %d us, killed at %d", end+LastLook, 3*sec+killGrace)
