--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -352,7 +352,7 @@
 		f.tally.Left++
 		return nil, true
 	}
-	timeLeft, ok := f.shutdown.Room(now, c.request.Left)
+	timeLeft, ok := f.shutdown.Admit(now, c.request.Left)
 	if !ok || f.closing {
 		return &rejectError{503, "ending"}, false
 	}
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -44,9 +44,9 @@
 // Deadline returns the time by which the last answer must be sent.
 func (l *Shutdown) Deadline() logic.Micros { return l.startedAt + l.longest + killGrace - answerMargin }
 
-// Room limits the time left of a request that arrives now. It returns false if the request must be refused and its
+// Admit limits the time left of a request that arrives now. It returns false if the request must be refused and its
 // connection closed.
-func (l *Shutdown) Room(now, timeLeft logic.Micros) (logic.Micros, bool) {
+func (l *Shutdown) Admit(now, timeLeft logic.Micros) (logic.Micros, bool) {
 	if !l.started {
 		return timeLeft, true
 	}
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -8,19 +8,19 @@
 
 func TestLeave(t *testing.T) {
 	l := New(2500 * ms)
-	if p, ok := l.Room(5, 9*sec); p != 9*sec || !ok || l.Last(5) || l.Over(5, 0, 0) {
+	if p, ok := l.Admit(5, 9*sec); p != 9*sec || !ok || l.Last(5) || l.Over(5, 0, 0) {
 		t.Fatal("limits before the shutdown has started")
 	}
 	l.Start(10 * sec)
 	l.Start(11 * sec) // a second call has no effect
 	till := 10*sec + 2500*ms + killGrace - answerMargin
-	if p, ok := l.Room(10*sec, 2500*ms); p != 2500*ms || !ok {
+	if p, ok := l.Admit(10*sec, 2500*ms); p != 2500*ms || !ok {
 		t.Fatal("a request that arrives at once does not have its whole time:", p)
 	}
-	if p, ok := l.Room(till-sec, 2500*ms); p != sec || !ok {
+	if p, ok := l.Admit(till-sec, 2500*ms); p != sec || !ok {
 		t.Fatal("a late request may be answered after the kill:", p)
 	}
-	if _, ok := l.Room(till-minTimeLeft+1, sec); ok {
+	if _, ok := l.Admit(till-minTimeLeft+1, sec); ok {
 		t.Fatal("accepted a request with too little time left")
 	}
 	if l.Last(till-sec) || !l.Last(till-minTimeLeft) {
@@ -38,7 +38,7 @@
 	}
 	long := New(60 * sec)
 	long.Start(sec)
-	if p, ok := long.Room(sec, 60*sec); !ok || p >= maxDeadline+killGrace {
+	if p, ok := long.Admit(sec, 60*sec); !ok || p >= maxDeadline+killGrace {
 		t.Fatal("a longer deadline must not delay the kill:", p)
 	}
 }
