--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -137,7 +137,7 @@
 func (f *Front) Drained() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closing = f.closing || f.shutdown.Over(f.handler.Now(), f.seats.Taken(), f.seats.Busy())
+	f.closing = f.closing || f.shutdown.Done(f.handler.Now(), f.seats.Taken(), f.seats.Busy())
 	return f.closing
 }
 
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -58,8 +58,8 @@
 // lose their connection have nowhere to go until the process is back.
 func (l *Shutdown) Last(now logic.Micros) bool { return l.started && now >= l.Deadline()-minTimeLeft }
 
-// Over reports whether the process may exit, given the numbers of connections and requests that it still holds.
-func (l *Shutdown) Over(now logic.Micros, connections, requests int) bool {
+// Done reports whether the process may exit, given the numbers of connections and requests that it still holds.
+func (l *Shutdown) Done(now logic.Micros, connections, requests int) bool {
 	if !l.started || now < l.startedAt+acceptTime {
 		return false
 	}
