--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -166,7 +166,7 @@
 	remaining := f.seats.Taken()
 	f.mu.Unlock()
 	if remaining > 0 {
-		time.Sleep(time.Duration(leave.LastLook) * time.Microsecond)
+		time.Sleep(time.Duration(leave.LingerTime) * time.Microsecond)
 	}
 	f.listener.Close()
 	f.mu.Lock()
--- a/leave/leave.go
+++ b/leave/leave.go
@@ -19,9 +19,9 @@
 	minTimeLeft  = 60 * ms
 	// New connections may still arrive for acceptTime; a process without clients does not exit before.
 	acceptTime = 600 * ms
-	// LastLook is how long clients then have to read the last answers and to learn that requests sent while their
+	// LingerTime is how long clients then have to read the last answers and to learn that requests sent while their
 	// connection was being closed were not taken. It must fit into answerMargin; a test checks the sum.
-	LastLook = 40 * ms
+	LingerTime = 40 * ms
 )
 
 // Shutdown is the state of a shutdown. startedAt is valid only once started is set.
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -50,7 +50,7 @@
 	end := logic.Micros(0)
 	for end = l.Deadline() - ms; !l.Done(end, 1, 1); end += ms {
 	}
-	if end+LastLook >= 3*sec+killGrace {
-		t.Fatalf("exits at %d us, killed at %d", end+LastLook, 3*sec+killGrace)
+	if end+LingerTime >= 3*sec+killGrace {
+		t.Fatalf("exits at %d us, killed at %d", end+LingerTime, 3*sec+killGrace)
 	}
 }
