--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -310,7 +310,7 @@
 		}
 	}
 	g.news(func(m *members.Members) {
-		if c := m.Listed(session, d.Generation, entries); c != "" {
+		if c := m.ApplyList(session, d.Generation, entries); c != "" {
 			g.log.Warn("directory", zap.String("complaint", c))
 		}
 	})
--- a/members/members.go
+++ b/members/members.go
@@ -63,9 +63,9 @@
 	return m
 }
 
-// Listed takes a discovery log page that arrived over the given connection; connections are counted from one. It
+// ApplyList takes a discovery log page that arrived over the given connection; connections are counted from one. It
 // returns a complaint if the page is ignored or lists an unknown node, otherwise "".
-func (m *Members) Listed(session int, generation uint64, entries []Entry) (complaint string) {
+func (m *Members) ApplyList(session int, generation uint64, entries []Entry) (complaint string) {
 	// A page without nodes comes from a directory that has lost its state, or from a mistake; taking it would stop all
 	// work. The last list stays in use. Harm: the last node that is taken out stays in use.
 	if len(entries) == 0 {
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -42,7 +42,7 @@
 		for _, n := range names {
 			es = append(es, Entry{n, ""})
 		}
-		if c := m.Listed(session, gen, es); want == "" && c != "" || !strings.Contains(c, want) {
+		if c := m.ApplyList(session, gen, es); want == "" && c != "" || !strings.Contains(c, want) {
 			t.Errorf("complaint %q, want %q", c, want)
 		}
 	}
@@ -69,7 +69,7 @@
 	}
 	list(2, 2, `names "y"`, "a", "b", "y")
 	list(2, 3, "", "a", "b", "y") // complained about only once
-	if c := m.Listed(2, 4, []Entry{{"a", "a:9"}, {"b", ""}}); c != "" || m.Address(1) != "a:9" || m.Address(2) != "b:1" {
+	if c := m.ApplyList(2, 4, []Entry{{"a", "a:9"}, {"b", ""}}); c != "" || m.Address(1) != "a:9" || m.Address(2) != "b:1" {
 		t.Errorf("addresses %q %q, %q", m.Address(1), m.Address(2), c)
 	}
 }
