--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -255,7 +255,7 @@
 func (g *Gateway) listedOnce() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.Listing()
+	return g.members.HasList()
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/members/members.go
+++ b/members/members.go
@@ -101,8 +101,8 @@
 	return complaint
 }
 
-// Listing reports whether a node list is known, either from the settings or from the directory.
-func (m *Members) Listing() bool { return !m.directory || m.listed }
+// HasList reports whether a node list is known, either from the settings or from the directory.
+func (m *Members) HasList() bool { return !m.directory || m.listed }
 
 // Refused records that a connection to the node's address failed.
 func (m *Members) Refused(id logic.NodeID, now logic.Micros) {
