--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -288,7 +288,7 @@
 	learn(g.members)
 	var list []logic.Node
 	if !g.waiting {
-		list = g.members.News(nil)
+		list = g.members.Changes(nil)
 	}
 	g.mu.Unlock()
 	for _, n := range list {
--- a/members/members.go
+++ b/members/members.go
@@ -156,8 +156,8 @@
 	return m.nodes[i]
 }
 
-// News appends the nodes that have changed since the last call, ordered by id.
-func (m *Members) News(out []logic.Node) []logic.Node {
+// Changes appends the nodes that have changed since the last call, ordered by id.
+func (m *Members) Changes(out []logic.Node) []logic.Node {
 	if m.directory && !m.listed {
 		return out
 	}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -13,7 +13,7 @@
 
 func states(m *Members) map[logic.NodeID]logic.NodeState {
 	got := map[logic.NodeID]logic.NodeState{}
-	for _, n := range m.News(nil) {
+	for _, n := range m.Changes(nil) {
 		got[n.ID] = n.State
 	}
 	return got
@@ -21,11 +21,11 @@
 
 func TestWithoutDirectory(t *testing.T) {
 	m := twoNodes(false)
-	news := m.News(nil)
+	news := m.Changes(nil)
 	if len(news) != 2 || news[0].ID != 1 || news[0].State != logic.Ready || m.Address(2) != "b:1" {
 		t.Fatalf("%+v", news)
 	}
-	if again := m.News(nil); len(again) != 0 {
+	if again := m.Changes(nil); len(again) != 0 {
 		t.Errorf("reported twice: %+v", again)
 	}
 }
@@ -90,20 +90,20 @@
 	if started() != 80_000_000 {
 		t.Errorf("started %d, want what it reported", started())
 	}
-	m.News(nil)
+	m.Changes(nil)
 	m.Reached(1, 95_000_000, 14_900_000)
-	if news := m.News(nil); len(news) != 0 {
+	if news := m.Changes(nil); len(news) != 0 {
 		t.Errorf("the same start reported a little later counts as a change: %+v", news)
 	}
 	m.Reached(1, 96_000_000, 10_000)
-	if news := m.News(nil); len(news) != 1 || news[0].Started != 95_990_000 {
+	if news := m.Changes(nil); len(news) != 1 || news[0].Started != 95_990_000 {
 		t.Errorf("a new start is not reported: %+v", news)
 	}
 }
 
 func TestDraining(t *testing.T) {
 	m := twoNodes(false)
-	m.News(nil)
+	m.Changes(nil)
 	m.Draining(2, true)
 	if got := states(m); len(got) != 1 || got[2] != logic.Draining {
 		t.Errorf("%v, want 2 draining", got)
@@ -124,9 +124,9 @@
 	if a, b := m.find(1).started, m.find(2).started; a != 39_800_000 || b != 40_000_000 {
 		t.Errorf("started %d and %d; want the restored one where it is the same start, the reported one where it is not", a, b)
 	}
-	m.News(nil)
+	m.Changes(nil)
 	m.Reached(1, 51_000_000, 11_000_000)
-	if news := m.News(nil); len(news) != 0 {
+	if news := m.Changes(nil); len(news) != 0 {
 		t.Errorf("the same start counts as a change: %+v", news)
 	}
 	if got := m.Memory(51_000_000); len(got) != 2 || got[0].Started != 11_200_000 || got[0].Refused != logic.Never {
