--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -150,7 +150,7 @@
 	defer g.mu.Unlock()
 	g.history.Note(time.Now().Unix(), st.Crossed)
 	st.History = g.history.Copy()
-	st.Members = g.members.Memory(now)
+	st.Members = g.members.Snapshot(now)
 	return st
 }
 
--- a/members/members.go
+++ b/members/members.go
@@ -186,8 +186,8 @@
 	Address string // from the directory
 }
 
-// Memory returns what is kept over a restart, ordered by id.
-func (m *Members) Memory(now logic.Micros) (out []Memory) {
+// Snapshot returns what is kept over a restart, ordered by id.
+func (m *Members) Snapshot(now logic.Micros) (out []Memory) {
 	age := func(at logic.Micros) logic.Micros {
 		if at == 0 {
 			return logic.Never
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -129,7 +129,7 @@
 	if news := m.Changes(nil); len(news) != 0 {
 		t.Errorf("the same start counts as a change: %+v", news)
 	}
-	if got := m.Memory(51_000_000); len(got) != 2 || got[0].Started != 11_200_000 || got[0].Refused != logic.Never {
+	if got := m.Snapshot(51_000_000); len(got) != 2 || got[0].Started != 11_200_000 || got[0].Refused != logic.Never {
 		t.Errorf("%+v", got)
 	}
 }
