--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -83,7 +83,7 @@
 		}
 	}
 	g.mu.Lock()
-	g.members.Remember(g.Engine.Now(), known)
+	g.members.Restore(g.Engine.Now(), known)
 	g.mu.Unlock()
 	if err := g.Engine.Remember(&memory, !quiet); err != nil {
 		log.Warn("started without", zap.Error(err))
--- a/members/members.go
+++ b/members/members.go
@@ -200,10 +200,10 @@
 	return out
 }
 
-// Remember restores what an earlier process knew. A restored start is replaced only by one that differs, whether that
+// Restore restores what an earlier process knew. A restored start is replaced only by one that differs, whether that
 // was reported before or after, so that package logic does not take a known node for a new one. Which nodes are in use
 // is not restored: the directory or the settings decide that.
-func (m *Members) Remember(now logic.Micros, list []Memory) {
+func (m *Members) Restore(now logic.Micros, list []Memory) {
 	at := func(age logic.Micros) logic.Micros {
 		if age >= logic.Never/2 || age < 0 || now-age <= 0 {
 			return 0
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -120,7 +120,7 @@
 	m := twoNodes(false)
 	m.Reached(1, 50_000_000, 10_000_000)
 	m.Reached(2, 50_000_000, 10_000_000)
-	m.Remember(50_000_000, []Memory{{ID: 1, Started: 10_200_000, Refused: logic.Never}, {ID: 2, Started: 30_000_000, Refused: logic.Never}, {ID: 9}})
+	m.Restore(50_000_000, []Memory{{ID: 1, Started: 10_200_000, Refused: logic.Never}, {ID: 2, Started: 30_000_000, Refused: logic.Never}, {ID: 9}})
 	if a, b := m.find(1).started, m.find(2).started; a != 39_800_000 || b != 40_000_000 {
 		t.Errorf("started %d and %d; want the restored one where it is the same start, the reported one where it is not", a, b)
 	}
