--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -28,7 +28,7 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Limits                  Limits
-	Known                   members.News // targets as this initiator last held them
+	Known                   members.Update // targets as this initiator last held them
 	Settings                *wire.Settings
 	Logic                   logic.Settings
 }
@@ -169,30 +169,30 @@
 var phases = map[string]logic.NodeState{"in_service": logic.Ready, "terminating": logic.Draining, "terminated": logic.Gone}
 
 // News reads one list of discovery's. Zones are those of the settings, in their order.
-func News(text []byte, zones []string) (members.News, error) {
+func News(text []byte, zones []string) (members.Update, error) {
 	var l list
 	if err := json.Unmarshal(text, &l); err != nil {
-		return members.News{}, err
+		return members.Update{}, err
 	}
 	if l.Revision == nil {
-		return members.News{}, fmt.Errorf("a list without a revision")
+		return members.Update{}, fmt.Errorf("a list without a revision")
 	}
-	n := members.News{Revision: *l.Revision, Complete: l.Complete}
+	n := members.Update{Revision: *l.Revision, Complete: l.Complete}
 	for i, m := range l.Members {
 		state, ok := phases[m.Phase]
 		switch {
 		case m.ID == "" || len(m.ID) > mostID || !utf8.ValidString(m.ID):
-			return members.News{}, fmt.Errorf("members[%d]: id is %.40q", i, m.ID)
+			return members.Update{}, fmt.Errorf("members[%d]: id is %.40q", i, m.ID)
 		case !ok:
-			return members.News{}, fmt.Errorf("members[%d] %s: phase is %.40q", i, m.ID, m.Phase)
+			return members.Update{}, fmt.Errorf("members[%d] %s: phase is %.40q", i, m.ID, m.Phase)
 		case m.Cell < 0:
-			return members.News{}, fmt.Errorf("members[%d] %s: cell is %d", i, m.ID, m.Cell)
+			return members.Update{}, fmt.Errorf("members[%d] %s: cell is %d", i, m.ID, m.Cell)
 		case m.UpSince < 0:
-			return members.News{}, fmt.Errorf("members[%d] %s: up_since_ms is %d", i, m.ID, m.UpSince)
+			return members.Update{}, fmt.Errorf("members[%d] %s: up_since_ms is %d", i, m.ID, m.UpSince)
 		}
 		if state != logic.Gone {
 			if err := Address(m.HostPort); err != nil {
-				return members.News{}, fmt.Errorf("members[%d] %s: host_port: %w", i, m.ID, err)
+				return members.Update{}, fmt.Errorf("members[%d] %s: host_port: %w", i, m.ID, err)
 			}
 		}
 		n.Targets = append(n.Targets, members.Target{Name: m.ID, Address: m.HostPort, Node: logic.Node{
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -50,7 +50,7 @@
 }
 
 // New starts from the list that is known.
-func New(known members.News, zones []string, sink Sink, heard func(), log *zap.Logger) *Watch {
+func New(known members.Update, zones []string, sink Sink, heard func(), log *zap.Logger) *Watch {
 	w := &Watch{sink: sink, zones: zones, log: log, heard: heard}
 	w.stop, w.end = context.WithCancel(context.Background())
 	follow, nodes := members.NewFollow(sink.Now(), known)
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -134,7 +134,7 @@
 func newBed(t *testing.T, address string) *bed {
 	t.Helper()
 	h := &hand{time.Now(), make(chan []members.Target, 1000)}
-	known := members.News{Revision: 1, Complete: true, Targets: []members.Target{{Node: logic.Node{ID: 1, State: logic.Ready}, Name: "s-1", Address: "127.0.0.1:7"}}}
+	known := members.Update{Revision: 1, Complete: true, Targets: []members.Target{{Node: logic.Node{ID: 1, State: logic.Ready}, Name: "s-1", Address: "127.0.0.1:7"}}}
 	b := &bed{t, h, New(known, []string{"a"}, h, func() {}, zap.NewNop())}
 	<-h.told
 	t.Cleanup(b.w.Close)
--- a/members/follow.go
+++ b/members/follow.go
@@ -15,8 +15,8 @@
 	Address string
 }
 
-// News is a full list of targets, or a list of changed targets.
-type News struct {
+// Update is a full list of targets, or a list of changed targets.
+type Update struct {
 	Revision uint64
 	Complete bool // a full list
 	Targets  []Target
@@ -60,7 +60,7 @@
 }
 
 // NewFollow starts with the last known list and returns the nodes in it.
-func NewFollow(now logic.Micros, known News) (*Follow, []logic.Node) {
+func NewFollow(now logic.Micros, known Update) (*Follow, []logic.Node) {
 	f := &Follow{targets: map[string]*followed{}, revision: known.Revision}
 	return f, f.apply(now, known)
 }
@@ -104,7 +104,7 @@
 // Told applies what a watch has delivered; first is true for the first delivery of this watch. It returns the nodes
 // that have changed, whether the watch must be given up to request the list again, and a complaint about what was
 // ignored.
-func (f *Follow) Told(now logic.Micros, n News, first bool) (changed []logic.Node, again bool, complaint error) {
+func (f *Follow) Told(now logic.Micros, n Update, first bool) (changed []logic.Node, again bool, complaint error) {
 	switch {
 	case n.Complete:
 		// A full list needs no earlier state, even if its revisions start again. A full list without targets comes from
@@ -158,7 +158,7 @@
 }
 
 // apply merges the entries and returns the nodes that have changed by them, ordered by id.
-func (f *Follow) apply(now logic.Micros, n News) (changed []logic.Node) {
+func (f *Follow) apply(now logic.Micros, n Update) (changed []logic.Node) {
 	if n.Complete {
 		named := map[string]bool{}
 		for _, t := range n.Targets {
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -12,7 +12,7 @@
 }
 
 // told delivers the news and expects exactly the given targets to change, in order of ids.
-func told(t *testing.T, f *Follow, n News, first bool, changed ...logic.NodeID) {
+func told(t *testing.T, f *Follow, n Update, first bool, changed ...logic.NodeID) {
 	t.Helper()
 	nodes, again, err := f.Told(1*sec, n, first)
 	if again || err != nil || len(nodes) != len(changed) {
@@ -35,22 +35,22 @@
 }
 
 func TestFollow(t *testing.T) {
-	f, first := NewFollow(0, News{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
+	f, first := NewFollow(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
 	if whole, after := f.Ask(); len(first) != 2 || whole || after != 41 {
 		t.Fatal(first, whole, after)
 	}
-	told(t, f, News{Revision: 43, Targets: []Target{target(2, logic.Draining), target(3, logic.Ready)}}, true, 2, 3)
-	told(t, f, News{Revision: 43, Targets: []Target{target(2, logic.Ready)}}, false) // a repeated delivery
-	told(t, f, News{Revision: 44, Targets: []Target{target(2, logic.Gone)}}, false, 2)
+	told(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Draining), target(3, logic.Ready)}}, true, 2, 3)
+	told(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Ready)}}, false) // a repeated delivery
+	told(t, f, Update{Revision: 44, Targets: []Target{target(2, logic.Gone)}}, false, 2)
 	if address(f, 2) != "" || address(f, 3) != "10.0.0.3:1" {
 		t.Fatal("wrong addresses")
 	}
 	// Targets missing from a full list are removed.
-	told(t, f, News{Revision: 50, Complete: true, Targets: []Target{target(3, logic.Ready), target(4, logic.Ready)}}, true, 1, 4)
+	told(t, f, Update{Revision: 50, Complete: true, Targets: []Target{target(3, logic.Ready), target(4, logic.Ready)}}, true, 1, 4)
 	// A changed address alone is a change.
 	moved := target(3, logic.Ready)
 	moved.Address = "10.9.9.9:1"
-	told(t, f, News{Revision: 51, Targets: []Target{moved}}, false, 3)
+	told(t, f, Update{Revision: 51, Targets: []Target{moved}}, false, 3)
 	if address(f, 3) != "10.9.9.9:1" {
 		t.Fatal("the address has not changed")
 	}
@@ -60,27 +60,27 @@
 // listed, whether that happens at the start of a watch or during one.
 func TestDiscoveryCountsAnew(t *testing.T) {
 	for _, first := range []bool{true, false} {
-		f, _ := NewFollow(0, News{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
-		changed, again, err := f.Told(0, News{Revision: 2, Targets: []Target{target(2, logic.Draining)}}, first)
+		f, _ := NewFollow(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
+		changed, again, err := f.Told(0, Update{Revision: 2, Targets: []Target{target(2, logic.Draining)}}, first)
 		if whole, _ := f.Ask(); !again || !whole || err != nil || len(changed) != 0 {
 			t.Fatal(changed, again, whole, err)
 		}
-		told(t, f, News{Revision: 2, Complete: true, Targets: []Target{target(2, logic.Draining)}}, true, 1, 2)
+		told(t, f, Update{Revision: 2, Complete: true, Targets: []Target{target(2, logic.Draining)}}, true, 1, 2)
 		if whole, after := f.Ask(); whole || after != 2 {
 			t.Fatal(whole, after)
 		}
-		told(t, f, News{Revision: 3, Targets: []Target{target(2, logic.Gone)}}, false, 2)
+		told(t, f, Update{Revision: 3, Targets: []Target{target(2, logic.Gone)}}, false, 2)
 	}
 }
 
 func TestEmptyAndDoubled(t *testing.T) {
-	f, _ := NewFollow(0, News{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready)}})
-	if changed, again, err := f.Told(0, News{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
+	f, _ := NewFollow(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready)}})
+	if changed, again, err := f.Told(0, Update{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
 		t.Fatal("an empty list must change nothing and must be complained about")
 	}
-	told(t, f, News{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // later changes build on its revision
+	told(t, f, Update{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // later changes build on its revision
 	other := Target{Node: target(2, logic.Ready).Node, Name: "other"}
-	changed, again, err := f.Told(0, News{Revision: 5, Targets: []Target{other, target(1, logic.Draining)}}, false)
+	changed, again, err := f.Told(0, Update{Revision: 5, Targets: []Target{other, target(1, logic.Draining)}}, false)
 	if again || err == nil || len(changed) != 1 || changed[0].ID != 1 {
 		t.Fatal("a target with a duplicate id must not block others:", changed, again, err)
 	}
@@ -92,7 +92,7 @@
 
 // An endless replacement of targets does not grow the table.
 func TestReplacedTargetsAreForgotten(t *testing.T) {
-	f, _ := NewFollow(0, News{})
+	f, _ := NewFollow(0, Update{})
 	now := logic.Micros(0)
 	for i := uint32(1); i < 5000; i++ {
 		now += 2 * sec
@@ -100,7 +100,7 @@
 		if i > 1 {
 			list = append(list, target(i-1, logic.Gone))
 		}
-		f.Told(now, News{Revision: uint64(i), Targets: list}, false)
+		f.Told(now, Update{Revision: uint64(i), Targets: list}, false)
 		if len(f.targets) > 40 {
 			t.Fatalf("%d held", len(f.targets))
 		}
@@ -109,7 +109,7 @@
 
 // Data counts only from the newest discovery address that has delivered anything, and from later ones.
 func TestLateListOfAnOldAddress(t *testing.T) {
-	f, _ := NewFollow(0, News{})
+	f, _ := NewFollow(0, Update{})
 	if f.From(1); !f.Counts(1) || !f.Counts(2) {
 		t.Fatal("the old address must count until the new one has delivered something")
 	}
@@ -121,7 +121,7 @@
 }
 
 func TestSilenceAndPauses(t *testing.T) {
-	f, _ := NewFollow(0, News{})
+	f, _ := NewFollow(0, Update{})
 	if at := SilentAt(19*sec, 0); at != 19*sec+callTimeout {
 		t.Fatal("wrong timeout of a call without an answer:", at)
 	}
