--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -40,7 +40,7 @@
 	heard func() // called once, when discovery has first told something
 
 	mu     sync.Mutex
-	follow *members.Follow
+	follow *members.Follower
 	once   sync.Once
 	cancel context.CancelFunc // of the watch in use
 	uses   int                // calls of Use so far
--- a/members/follow.go
+++ b/members/follow.go
@@ -42,9 +42,9 @@
 	tombstoneTime = 60 * sec
 )
 
-// Follow applies lists of targets, and the changes to them that a watch delivers: it decides what is taken, when the
+// Follower applies lists of targets, and the changes to them that a watch delivers: it decides what is taken, when the
 // full list is requested again, and when a watch is given up. It has no clock, goroutine or I/O.
-type Follow struct {
+type Follower struct {
 	targets       map[string]*followed
 	revision      uint64
 	needsFullList bool // a change is missing, so the full list must be requested
@@ -60,13 +60,13 @@
 }
 
 // NewFollow starts with the last known list and returns the nodes in it.
-func NewFollow(now logic.Micros, known Update) (*Follow, []logic.Node) {
-	f := &Follow{targets: map[string]*followed{}, revision: known.Revision}
+func NewFollow(now logic.Micros, known Update) (*Follower, []logic.Node) {
+	f := &Follower{targets: map[string]*followed{}, revision: known.Revision}
 	return f, f.apply(now, known)
 }
 
 // Ask returns what to request next: the full list, or the changes after a revision.
-func (f *Follow) Ask() (whole bool, after uint64) { return f.needsFullList, f.revision }
+func (f *Follower) Ask() (whole bool, after uint64) { return f.needsFullList, f.revision }
 
 // SilentAt returns when a call that began at the given time is to be given up if nothing more is received. heard is
 // when something, possibly an empty line, was last received; 0: nothing yet.
@@ -79,7 +79,7 @@
 
 // Ended records that a watch that began at the given time has ended or could not be set up. It returns the delay before
 // the next one.
-func (f *Follow) Ended(now, begun logic.Micros) (delay logic.Micros) {
+func (f *Follower) Ended(now, begun logic.Micros) (delay logic.Micros) {
 	if now-begun >= stableAfter {
 		f.failures = 0
 	}
@@ -93,18 +93,18 @@
 // Counts reports whether data from the use-th address is still taken. A watch that was replaced by a newer one must not
 // undo what the newer one has delivered, since its list may be older. Harm: the old address is not used any more once
 // the new one delivers.
-func (f *Follow) Counts(use int) bool { return use >= f.newestUse }
+func (f *Follower) Counts(use int) bool { return use >= f.newestUse }
 
 // From records that the use-th address has delivered readable data.
-func (f *Follow) From(use int) { f.newestUse = max(f.newestUse, use) }
+func (f *Follower) From(use int) { f.newestUse = max(f.newestUse, use) }
 
 // Unread records that something could not be read, so that a change is missing.
-func (f *Follow) Unread() { f.needsFullList = true }
+func (f *Follower) Unread() { f.needsFullList = true }
 
 // Told applies what a watch has delivered; first is true for the first delivery of this watch. It returns the nodes
 // that have changed, whether the watch must be given up to request the list again, and a complaint about what was
 // ignored.
-func (f *Follow) Told(now logic.Micros, n Update, first bool) (changed []logic.Node, again bool, complaint error) {
+func (f *Follower) Told(now logic.Micros, n Update, first bool) (changed []logic.Node, again bool, complaint error) {
 	switch {
 	case n.Complete:
 		// A full list needs no earlier state, even if its revisions start again. A full list without targets comes from
@@ -130,7 +130,7 @@
 }
 
 // withoutDuplicateIDs drops targets with the id of another target, which package logic could not distinguish.
-func (f *Follow) withoutDuplicateIDs(list []Target) (kept []Target, complaint error) {
+func (f *Follower) withoutDuplicateIDs(list []Target) (kept []Target, complaint error) {
 	names := map[logic.NodeID]string{}
 	for name, t := range f.targets {
 		if t.State != logic.Gone {
@@ -148,7 +148,7 @@
 	return kept, complaint
 }
 
-func (f *Follow) countLive() (n int) {
+func (f *Follower) countLive() (n int) {
 	for _, t := range f.targets {
 		if t.State != logic.Gone {
 			n++
@@ -158,7 +158,7 @@
 }
 
 // apply merges the entries and returns the nodes that have changed by them, ordered by id.
-func (f *Follow) apply(now logic.Micros, n Update) (changed []logic.Node) {
+func (f *Follower) apply(now logic.Micros, n Update) (changed []logic.Node) {
 	if n.Complete {
 		named := map[string]bool{}
 		for _, t := range n.Targets {
@@ -206,7 +206,7 @@
 }
 
 // Targets returns all known targets, ordered by id.
-func (f *Follow) Targets() (out []Target) {
+func (f *Follower) Targets() (out []Target) {
 	for _, t := range f.targets {
 		out = append(out, t.Target)
 	}
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -12,7 +12,7 @@
 }
 
 // told delivers the news and expects exactly the given targets to change, in order of ids.
-func told(t *testing.T, f *Follow, n Update, first bool, changed ...logic.NodeID) {
+func told(t *testing.T, f *Follower, n Update, first bool, changed ...logic.NodeID) {
 	t.Helper()
 	nodes, again, err := f.Told(1*sec, n, first)
 	if again || err != nil || len(nodes) != len(changed) {
@@ -25,7 +25,7 @@
 	}
 }
 
-func address(f *Follow, id logic.NodeID) string {
+func address(f *Follower, id logic.NodeID) string {
 	for _, x := range f.Targets() {
 		if x.ID == id && x.State != logic.Gone {
 			return x.Address
