--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -53,7 +53,7 @@
 func New(known members.Update, zones []string, sink Sink, heard func(), log *zap.Logger) *Watch {
 	w := &Watch{sink: sink, zones: zones, log: log, heard: heard}
 	w.stop, w.end = context.WithCancel(context.Background())
-	follow, nodes := members.NewFollow(sink.Now(), known)
+	follow, nodes := members.NewFollower(sink.Now(), known)
 	w.follow = follow
 	sink.Nodes(nodes, follow.Targets())
 	return w
--- a/members/clock_test.go
+++ b/members/clock_test.go
@@ -26,7 +26,7 @@
 		"a bit behind": {-5 * sec, now - late},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := NewFollow(now-20*sec, Update{})
+			f, _ := NewFollower(now-20*sec, Update{})
 			old := startedAt(1, now-c.ahead-1000*sec)
 			f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{old, target(2, logic.Ready)}}, true)
 			changed, _, _ := f.Told(now, Update{Revision: 2, Targets: []Target{startedAt(3, now-c.ahead-late)}}, false)
@@ -57,7 +57,7 @@
 // Clocks that agree leave starts as they are reported, even when they are reported late.
 func TestStartsWhereClocksAgree(t *testing.T) {
 	const now = 100_000 * sec
-	f, _ := NewFollow(now-20*sec, Update{Targets: []Target{startedAt(1, now-30*sec)}})
+	f, _ := NewFollower(now-20*sec, Update{Targets: []Target{startedAt(1, now-30*sec)}})
 	f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-30*sec), startedAt(2, now-500*sec)}}, true)
 	f.Told(now, Update{Revision: 2, Targets: []Target{startedAt(3, now-20*sec), startedAt(4, now-sec)}}, false)
 	want := map[logic.NodeID]logic.Micros{1: now - 30*sec, 2: now - 500*sec, 3: now - 20*sec, 4: now - sec}
@@ -72,7 +72,7 @@
 func TestWrongStartIsOneTargetsOwn(t *testing.T) {
 	const now = 100_000 * sec
 	for name, wrong := range map[string]logic.Micros{"ahead": now + 3600*sec, "behind": now - 3600*sec} {
-		f, _ := NewFollow(now-20*sec, Update{})
+		f, _ := NewFollower(now-20*sec, Update{})
 		f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-30*sec)}}, true)
 		changed, _, _ := f.Told(now, Update{Revision: 2, Targets: []Target{startedAt(2, wrong)}}, false)
 		if len(changed) != 1 || changed[0].ID != 2 || changed[0].Started != now {
@@ -87,7 +87,7 @@
 // A target that returns to the list while its entry is kept has not restarted.
 func TestReturnedTargetHasNotStartedAnew(t *testing.T) {
 	const now = 100_000 * sec
-	f, _ := NewFollow(now-20*sec, Update{})
+	f, _ := NewFollower(now-20*sec, Update{})
 	f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-900*sec), startedAt(2, now-900*sec)}}, true)
 	f.Told(now-5*sec, Update{Revision: 2, Complete: true, Targets: []Target{startedAt(2, now-900*sec)}}, false)
 	changed, _, _ := f.Told(now, Update{Revision: 3, Targets: []Target{startedAt(1, now-900*sec)}}, false)
--- a/members/follow.go
+++ b/members/follow.go
@@ -59,8 +59,8 @@
 	goneAt        logic.Micros // when the target was removed; 0: it is in use
 }
 
-// NewFollow starts with the last known list and returns the nodes in it.
-func NewFollow(now logic.Micros, known Update) (*Follower, []logic.Node) {
+// NewFollower starts with the last known list and returns the nodes in it.
+func NewFollower(now logic.Micros, known Update) (*Follower, []logic.Node) {
 	f := &Follower{targets: map[string]*followed{}, revision: known.Revision}
 	return f, f.apply(now, known)
 }
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestFollow(t *testing.T) {
-	f, first := NewFollow(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
+	f, first := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
 	if whole, after := f.Ask(); len(first) != 2 || whole || after != 41 {
 		t.Fatal(first, whole, after)
 	}
@@ -60,7 +60,7 @@
 // listed, whether that happens at the start of a watch or during one.
 func TestDiscoveryCountsAnew(t *testing.T) {
 	for _, first := range []bool{true, false} {
-		f, _ := NewFollow(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
+		f, _ := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
 		changed, again, err := f.Told(0, Update{Revision: 2, Targets: []Target{target(2, logic.Draining)}}, first)
 		if whole, _ := f.Ask(); !again || !whole || err != nil || len(changed) != 0 {
 			t.Fatal(changed, again, whole, err)
@@ -74,7 +74,7 @@
 }
 
 func TestEmptyAndDoubled(t *testing.T) {
-	f, _ := NewFollow(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready)}})
+	f, _ := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready)}})
 	if changed, again, err := f.Told(0, Update{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
 		t.Fatal("an empty list must change nothing and must be complained about")
 	}
@@ -92,7 +92,7 @@
 
 // An endless replacement of targets does not grow the table.
 func TestReplacedTargetsAreForgotten(t *testing.T) {
-	f, _ := NewFollow(0, Update{})
+	f, _ := NewFollower(0, Update{})
 	now := logic.Micros(0)
 	for i := uint32(1); i < 5000; i++ {
 		now += 2 * sec
@@ -109,7 +109,7 @@
 
 // Data counts only from the newest discovery address that has delivered anything, and from later ones.
 func TestLateListOfAnOldAddress(t *testing.T) {
-	f, _ := NewFollow(0, Update{})
+	f, _ := NewFollower(0, Update{})
 	if f.From(1); !f.Counts(1) || !f.Counts(2) {
 		t.Fatal("the old address must count until the new one has delivered something")
 	}
@@ -121,7 +121,7 @@
 }
 
 func TestSilenceAndPauses(t *testing.T) {
-	f, _ := NewFollow(0, Update{})
+	f, _ := NewFollower(0, Update{})
 	if at := SilentAt(19*sec, 0); at != 19*sec+callTimeout {
 		t.Fatal("wrong timeout of a call without an answer:", at)
 	}
