--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -222,7 +222,7 @@
 		return fmt.Errorf("a list that cannot be read: %w", err)
 	}
 	w.follow.From(use)
-	changed, again, complaint := w.follow.Told(w.sink.Now(), news, first)
+	changed, again, complaint := w.follow.Receive(w.sink.Now(), news, first)
 	if complaint != nil {
 		w.log.Warn("discovery", zap.Error(complaint))
 	}
--- a/members/clock_test.go
+++ b/members/clock_test.go
@@ -28,8 +28,8 @@
 		t.Run(name, func(t *testing.T) {
 			f, _ := NewFollower(now-20*sec, Update{})
 			old := startedAt(1, now-c.ahead-1000*sec)
-			f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{old, target(2, logic.Ready)}}, true)
-			changed, _, _ := f.Told(now, Update{Revision: 2, Targets: []Target{startedAt(3, now-c.ahead-late)}}, false)
+			f.Receive(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{old, target(2, logic.Ready)}}, true)
+			changed, _, _ := f.Receive(now, Update{Revision: 2, Targets: []Target{startedAt(3, now-c.ahead-late)}}, false)
 			found := false
 			for _, n := range changed {
 				if n.ID == 3 {
@@ -58,8 +58,8 @@
 func TestStartsWhereClocksAgree(t *testing.T) {
 	const now = 100_000 * sec
 	f, _ := NewFollower(now-20*sec, Update{Targets: []Target{startedAt(1, now-30*sec)}})
-	f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-30*sec), startedAt(2, now-500*sec)}}, true)
-	f.Told(now, Update{Revision: 2, Targets: []Target{startedAt(3, now-20*sec), startedAt(4, now-sec)}}, false)
+	f.Receive(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-30*sec), startedAt(2, now-500*sec)}}, true)
+	f.Receive(now, Update{Revision: 2, Targets: []Target{startedAt(3, now-20*sec), startedAt(4, now-sec)}}, false)
 	want := map[logic.NodeID]logic.Micros{1: now - 30*sec, 2: now - 500*sec, 3: now - 20*sec, 4: now - sec}
 	for _, x := range f.Targets() {
 		if x.Started != want[x.ID] {
@@ -73,12 +73,12 @@
 	const now = 100_000 * sec
 	for name, wrong := range map[string]logic.Micros{"ahead": now + 3600*sec, "behind": now - 3600*sec} {
 		f, _ := NewFollower(now-20*sec, Update{})
-		f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-30*sec)}}, true)
-		changed, _, _ := f.Told(now, Update{Revision: 2, Targets: []Target{startedAt(2, wrong)}}, false)
+		f.Receive(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-30*sec)}}, true)
+		changed, _, _ := f.Receive(now, Update{Revision: 2, Targets: []Target{startedAt(2, wrong)}}, false)
 		if len(changed) != 1 || changed[0].ID != 2 || changed[0].Started != now {
 			t.Errorf("%s: %+v", name, changed)
 		}
-		if changed, _, _ := f.Told(now+sec, Update{Revision: 3, Targets: []Target{startedAt(2, wrong)}}, false); len(changed) != 0 {
+		if changed, _, _ := f.Receive(now+sec, Update{Revision: 3, Targets: []Target{startedAt(2, wrong)}}, false); len(changed) != 0 {
 			t.Errorf("%s: reported again, it has changed: %+v", name, changed)
 		}
 	}
@@ -88,9 +88,9 @@
 func TestReturnedTargetHasNotStartedAnew(t *testing.T) {
 	const now = 100_000 * sec
 	f, _ := NewFollower(now-20*sec, Update{})
-	f.Told(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-900*sec), startedAt(2, now-900*sec)}}, true)
-	f.Told(now-5*sec, Update{Revision: 2, Complete: true, Targets: []Target{startedAt(2, now-900*sec)}}, false)
-	changed, _, _ := f.Told(now, Update{Revision: 3, Targets: []Target{startedAt(1, now-900*sec)}}, false)
+	f.Receive(now-10*sec, Update{Revision: 1, Complete: true, Targets: []Target{startedAt(1, now-900*sec), startedAt(2, now-900*sec)}}, true)
+	f.Receive(now-5*sec, Update{Revision: 2, Complete: true, Targets: []Target{startedAt(2, now-900*sec)}}, false)
+	changed, _, _ := f.Receive(now, Update{Revision: 3, Targets: []Target{startedAt(1, now-900*sec)}}, false)
 	if len(changed) != 1 || changed[0].State != logic.Ready || changed[0].Started != now-900*sec {
 		t.Errorf("%+v", changed)
 	}
--- a/members/follow.go
+++ b/members/follow.go
@@ -101,10 +101,10 @@
 // Unread records that something could not be read, so that a change is missing.
 func (f *Follower) Unread() { f.needsFullList = true }
 
-// Told applies what a watch has delivered; first is true for the first delivery of this watch. It returns the nodes
+// Receive applies what a watch has delivered; first is true for the first delivery of this watch. It returns the nodes
 // that have changed, whether the watch must be given up to request the list again, and a complaint about what was
 // ignored.
-func (f *Follower) Told(now logic.Micros, n Update, first bool) (changed []logic.Node, again bool, complaint error) {
+func (f *Follower) Receive(now logic.Micros, n Update, first bool) (changed []logic.Node, again bool, complaint error) {
 	switch {
 	case n.Complete:
 		// A full list needs no earlier state, even if its revisions start again. A full list without targets comes from
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -14,7 +14,7 @@
 // told delivers the news and expects exactly the given targets to change, in order of ids.
 func told(t *testing.T, f *Follower, n Update, first bool, changed ...logic.NodeID) {
 	t.Helper()
-	nodes, again, err := f.Told(1*sec, n, first)
+	nodes, again, err := f.Receive(1*sec, n, first)
 	if again || err != nil || len(nodes) != len(changed) {
 		t.Fatalf("%+v, again %v, %v; want %v", nodes, again, err, changed)
 	}
@@ -61,7 +61,7 @@
 func TestDiscoveryCountsAnew(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		f, _ := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
-		changed, again, err := f.Told(0, Update{Revision: 2, Targets: []Target{target(2, logic.Draining)}}, first)
+		changed, again, err := f.Receive(0, Update{Revision: 2, Targets: []Target{target(2, logic.Draining)}}, first)
 		if whole, _ := f.Ask(); !again || !whole || err != nil || len(changed) != 0 {
 			t.Fatal(changed, again, whole, err)
 		}
@@ -75,12 +75,12 @@
 
 func TestEmptyAndDoubled(t *testing.T) {
 	f, _ := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready)}})
-	if changed, again, err := f.Told(0, Update{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
+	if changed, again, err := f.Receive(0, Update{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
 		t.Fatal("an empty list must change nothing and must be complained about")
 	}
 	told(t, f, Update{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // later changes build on its revision
 	other := Target{Node: target(2, logic.Ready).Node, Name: "other"}
-	changed, again, err := f.Told(0, Update{Revision: 5, Targets: []Target{other, target(1, logic.Draining)}}, false)
+	changed, again, err := f.Receive(0, Update{Revision: 5, Targets: []Target{other, target(1, logic.Draining)}}, false)
 	if again || err == nil || len(changed) != 1 || changed[0].ID != 1 {
 		t.Fatal("a target with a duplicate id must not block others:", changed, again, err)
 	}
@@ -100,7 +100,7 @@
 		if i > 1 {
 			list = append(list, target(i-1, logic.Gone))
 		}
-		f.Told(now, Update{Revision: uint64(i), Targets: list}, false)
+		f.Receive(now, Update{Revision: uint64(i), Targets: list}, false)
 		if len(f.targets) > 40 {
 			t.Fatalf("%d held", len(f.targets))
 		}
