--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -111,7 +111,7 @@
 // watch asks for changes, or first for the whole list, and takes them until the connection ends.
 func (w *Watch) watch(ctx context.Context, address string, use int, begun logic.Micros, up func()) error {
 	w.mu.Lock()
-	whole, after := w.follow.Ask()
+	whole, after := w.follow.NextRequest()
 	w.mu.Unlock()
 	ask := fmt.Sprintf("%s?watch=1&after=%d", path, after)
 	if whole {
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -36,7 +36,7 @@
 
 func TestFollow(t *testing.T) {
 	f, first := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
-	if whole, after := f.Ask(); len(first) != 2 || whole || after != 41 {
+	if whole, after := f.NextRequest(); len(first) != 2 || whole || after != 41 {
 		t.Fatal(first, whole, after)
 	}
 	told(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Draining), target(3, logic.Ready)}}, true, 2, 3)
@@ -62,11 +62,11 @@
 	for _, first := range []bool{true, false} {
 		f, _ := NewFollower(0, Update{Revision: 41, Complete: true, Targets: []Target{target(1, logic.Ready), target(2, logic.Ready)}})
 		changed, again, err := f.Receive(0, Update{Revision: 2, Targets: []Target{target(2, logic.Draining)}}, first)
-		if whole, _ := f.Ask(); !again || !whole || err != nil || len(changed) != 0 {
+		if whole, _ := f.NextRequest(); !again || !whole || err != nil || len(changed) != 0 {
 			t.Fatal(changed, again, whole, err)
 		}
 		told(t, f, Update{Revision: 2, Complete: true, Targets: []Target{target(2, logic.Draining)}}, true, 1, 2)
-		if whole, after := f.Ask(); whole || after != 2 {
+		if whole, after := f.NextRequest(); whole || after != 2 {
 			t.Fatal(whole, after)
 		}
 		told(t, f, Update{Revision: 3, Targets: []Target{target(2, logic.Gone)}}, false, 2)
@@ -85,7 +85,7 @@
 		t.Fatal("a target with a duplicate id must not block others:", changed, again, err)
 	}
 	f.Unread()
-	if whole, _ := f.Ask(); !whole {
+	if whole, _ := f.NextRequest(); !whole {
 		t.Fatal("unread data must lead to a request for the full list")
 	}
 }
