--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -89,7 +89,7 @@
 		begun := w.sink.Now()
 		err := w.watch(ctx, address, use, begun, up)
 		w.mu.Lock()
-		pause := w.follow.Ended(w.sink.Now(), begun)
+		pause := w.follow.WatchEnded(w.sink.Now(), begun)
 		w.mu.Unlock()
 		if ctx.Err() == nil {
 			w.log.Info("the watch on discovery ended", zap.String("address", address), zap.Error(err), zap.Duration("pause", micros(pause)))
--- a/members/follow.go
+++ b/members/follow.go
@@ -77,9 +77,9 @@
 	return heard + watchTimeout
 }
 
-// Ended records that a watch that began at the given time has ended or could not be set up. It returns the delay before
+// WatchEnded records that a watch that began at the given time has ended or could not be set up. It returns the delay before
 // the next one.
-func (f *Follower) Ended(now, begun logic.Micros) (delay logic.Micros) {
+func (f *Follower) WatchEnded(now, begun logic.Micros) (delay logic.Micros) {
 	if now-begun >= stableAfter {
 		f.failures = 0
 	}
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -136,13 +136,13 @@
 	// A watch that delivers something unusable and ends is not renewed in a tight loop.
 	last := logic.Micros(-1)
 	for i := range 20 {
-		p := f.Ended(20*sec, 20*sec-ms)
+		p := f.WatchEnded(20*sec, 20*sec-ms)
 		if (i == 0) != (p == 0) || p < last || p > maxRetryDelay {
 			t.Fatal(i, p)
 		}
 		last = p
 	}
-	if f.Ended(40*sec, 30*sec) != 0 {
+	if f.WatchEnded(40*sec, 30*sec) != 0 {
 		t.Fatal("a watch that lasted long must be renewed at once")
 	}
 }
