--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -214,7 +214,7 @@
 	news, err := config.News(list, w.zones)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.follow.Counts(use) {
+	if !w.follow.Accepts(use) {
 		return errMoved
 	}
 	if err != nil {
--- a/members/follow.go
+++ b/members/follow.go
@@ -90,10 +90,10 @@
 	return delay
 }
 
-// Counts reports whether data from the use-th address is still taken. A watch that was replaced by a newer one must not
+// Accepts reports whether data from the use-th address is still taken. A watch that was replaced by a newer one must not
 // undo what the newer one has delivered, since its list may be older. Harm: the old address is not used any more once
 // the new one delivers.
-func (f *Follower) Counts(use int) bool { return use >= f.newestUse }
+func (f *Follower) Accepts(use int) bool { return use >= f.newestUse }
 
 // From records that the use-th address has delivered readable data.
 func (f *Follower) From(use int) { f.newestUse = max(f.newestUse, use) }
