--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -221,7 +221,7 @@
 		w.follow.Unread()
 		return fmt.Errorf("a list that cannot be read: %w", err)
 	}
-	w.follow.From(use)
+	w.follow.Delivered(use)
 	changed, again, complaint := w.follow.Receive(w.sink.Now(), news, first)
 	if complaint != nil {
 		w.log.Warn("discovery", zap.Error(complaint))
--- a/members/follow.go
+++ b/members/follow.go
@@ -95,8 +95,8 @@
 // the new one delivers.
 func (f *Follower) Accepts(use int) bool { return use >= f.newestUse }
 
-// From records that the use-th address has delivered readable data.
-func (f *Follower) From(use int) { f.newestUse = max(f.newestUse, use) }
+// Delivered records that the use-th address has delivered readable data.
+func (f *Follower) Delivered(use int) { f.newestUse = max(f.newestUse, use) }
 
 // Unread records that something could not be read, so that a change is missing.
 func (f *Follower) Unread() { f.needsFullList = true }
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -110,11 +110,11 @@
 // Data counts only from the newest discovery address that has delivered anything, and from later ones.
 func TestLateListOfAnOldAddress(t *testing.T) {
 	f, _ := NewFollower(0, Update{})
-	if f.From(1); !f.Accepts(1) || !f.Accepts(2) {
+	if f.Delivered(1); !f.Accepts(1) || !f.Accepts(2) {
 		t.Fatal("the old address must count until the new one has delivered something")
 	}
-	f.From(3)
-	f.From(2)
+	f.Delivered(3)
+	f.Delivered(2)
 	if f.Accepts(1) || f.Accepts(2) || !f.Accepts(3) {
 		t.Fatal("an old address overrides a newer one")
 	}
