--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -218,7 +218,7 @@
 		return errMoved
 	}
 	if err != nil {
-		w.follow.Unread()
+		w.follow.MarkIncomplete()
 		return fmt.Errorf("a list that cannot be read: %w", err)
 	}
 	w.follow.Delivered(use)
--- a/members/follow.go
+++ b/members/follow.go
@@ -98,8 +98,8 @@
 // Delivered records that the use-th address has delivered readable data.
 func (f *Follower) Delivered(use int) { f.newestUse = max(f.newestUse, use) }
 
-// Unread records that something could not be read, so that a change is missing.
-func (f *Follower) Unread() { f.needsFullList = true }
+// MarkIncomplete records that something could not be read, so that a change is missing.
+func (f *Follower) MarkIncomplete() { f.needsFullList = true }
 
 // Receive applies what a watch has delivered; first is true for the first delivery of this watch. It returns the nodes
 // that have changed, whether the watch must be given up to request the list again, and a complaint about what was
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -84,7 +84,7 @@
 	if again || err == nil || len(changed) != 1 || changed[0].ID != 1 {
 		t.Fatal("a target with a duplicate id must not block others:", changed, again, err)
 	}
-	f.Unread()
+	f.MarkIncomplete()
 	if whole, _ := f.NextRequest(); !whole {
 		t.Fatal("unread data must lead to a request for the full list")
 	}
