--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -206,7 +206,7 @@
 
 // silence is for how long a call may still say nothing, by when it last did.
 func (w *Watch) silence(begun, heard logic.Micros) time.Duration {
-	return micros(max(members.SilentAt(begun, heard)-w.sink.Now(), 1))
+	return micros(max(members.TimeoutAt(begun, heard)-w.sink.Now(), 1))
 }
 
 // take hands on what a list tells.
--- a/members/follow.go
+++ b/members/follow.go
@@ -68,9 +68,9 @@
 // NextRequest returns what to request next: the full list, or the changes after a revision.
 func (f *Follower) NextRequest() (whole bool, after uint64) { return f.needsFullList, f.revision }
 
-// SilentAt returns when a call that began at the given time is to be given up if nothing more is received. heard is
+// TimeoutAt returns when a call that began at the given time is to be given up if nothing more is received. heard is
 // when something, possibly an empty line, was last received; 0: nothing yet.
-func SilentAt(begun, heard logic.Micros) logic.Micros {
+func TimeoutAt(begun, heard logic.Micros) logic.Micros {
 	if heard == 0 {
 		return begun + callTimeout
 	}
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -122,10 +122,10 @@
 
 func TestSilenceAndPauses(t *testing.T) {
 	f, _ := NewFollower(0, Update{})
-	if at := SilentAt(19*sec, 0); at != 19*sec+callTimeout {
+	if at := TimeoutAt(19*sec, 0); at != 19*sec+callTimeout {
 		t.Fatal("wrong timeout of a call without an answer:", at)
 	}
-	if at := SilentAt(0, 10*sec); at != 10*sec+watchTimeout {
+	if at := TimeoutAt(0, 10*sec); at != 10*sec+watchTimeout {
 		t.Fatal("wrong timeout of a silent watch:", at)
 	}
 	// Two empty lines may be late before a watch is given up. Any change takes effect in time: a watch falls silent, or
