--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -66,14 +66,14 @@
 		rows = append(rows, engine.Crossed{Volume: r.Volume, Class: r.Class, Zone: r.Zone, Reason: engine.Reason(r.Reason), Attempts: r.Attempts, Out: r.Out, In: r.In})
 	}
 	budget := st.Budget
-	if !recall.Limits(clean, marked, how) {
+	if !recall.LimitsUsable(clean, marked, how) {
 		budget = nil // what was spent since is not known
 	}
 	g.history.Remember(st.History, st.Crossed)
 	if err := g.Engine.RememberCrossing(rows, budget, age); err != nil {
 		log.Warn("crossing", zap.Error(err))
 	}
-	memory := recall.Fade(st.Logic, age, how, recall.Limits(clean, marked, how))
+	memory := recall.Fade(st.Logic, age, how, recall.LimitsUsable(clean, marked, how))
 	known := st.Members
 	for i := range known {
 		for _, at := range []*logic.Micros{&known[i].Started, &known[i].Refused} {
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -70,10 +70,10 @@
 	return age, ByWall, ""
 }
 
-// Limits reports whether the stored state of limits may be used. The gateway must have shut down by itself, so that
+// LimitsUsable reports whether the stored state of limits may be used. The gateway must have shut down by itself, so that
 // nothing was drawn after the state was written; the age must be exact, because the store refills by it; and the state
 // must be marked as used, so that no other process uses it a second time.
-func Limits(clean, marked bool, trust Trust) bool { return clean && marked && trust == Exact }
+func LimitsUsable(clean, marked bool, trust Trust) bool { return clean && marked && trust == Exact }
 
 // Fade ages a memory. An unknown age counts as very long for figures that fade, and as zero for debts.
 func Fade(m logic.Memory, age logic.Micros, trust Trust, limits bool) logic.Memory {
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -37,7 +37,7 @@
 	for _, clean := range []bool{false, true} {
 		for _, marked := range []bool{false, true} {
 			for _, trust := range []Trust{Exact, ByWall, None} {
-				if got := Limits(clean, marked, trust); got != (clean && marked && trust == Exact) {
+				if got := LimitsUsable(clean, marked, trust); got != (clean && marked && trust == Exact) {
 					t.Errorf("clean %v, marked %v, trust %d: %v", clean, marked, trust, got)
 				}
 			}
