--- a/recall/recall.go
+++ b/recall/recall.go
@@ -47,9 +47,9 @@
 type Trust uint8
 
 const (
-	Exact  Trust = iota // by the clock of one boot
-	ByWall              // by a wall clock that may have been set
-	None                // unknown
+	Exact       Trust = iota // by the clock of one boot
+	ByWallClock              // by a wall clock that may have been set
+	None                     // unknown
 )
 
 // Age returns the time from then to now and how reliably it is known. The complaint describes a fault of the clocks; it
@@ -67,7 +67,7 @@
 	case age > maxClockJump:
 		return 0, None, "the clock is more than a year ahead of the saved state"
 	}
-	return age, ByWall, ""
+	return age, ByWallClock, ""
 }
 
 // LimitsUsable reports whether the stored state of limits may be used. The gateway must have shut down by itself, so that
