--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -77,7 +77,7 @@
 	known := st.Members
 	for i := range known {
 		for _, at := range []*logic.Micros{&known[i].Started, &known[i].Refused} {
-			if *at < logic.Never/2 && how != recall.None {
+			if *at < logic.Never/2 && how != recall.Unknown {
 				*at += age
 			}
 		}
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -49,7 +49,7 @@
 const (
 	Exact       Trust = iota // by the clock of one boot
 	ByWallClock              // by a wall clock that may have been set
-	None                     // unknown
+	Unknown                  // unknown
 )
 
 // Age returns the time from then to now and how reliably it is known. The complaint describes a fault of the clocks; it
@@ -59,13 +59,13 @@
 		if age = now.Since - then.Since; age >= 0 {
 			return age, Exact, ""
 		}
-		return 0, None, "the boot clock went backward within one boot"
+		return 0, Unknown, "the boot clock went backward within one boot"
 	}
 	switch age = now.Wall - then.Wall; {
 	case age < 0:
-		return 0, None, fmt.Sprintf("the clock was set back, or the saved state is from the future, by %.0f s", -float64(age)/1e6)
+		return 0, Unknown, fmt.Sprintf("the clock was set back, or the saved state is from the future, by %.0f s", -float64(age)/1e6)
 	case age > maxClockJump:
-		return 0, None, "the clock is more than a year ahead of the saved state"
+		return 0, Unknown, "the clock is more than a year ahead of the saved state"
 	}
 	return age, ByWallClock, ""
 }
@@ -78,7 +78,7 @@
 // Fade ages a memory. An unknown age counts as very long for figures that fade, and as zero for debts.
 func Fade(m logic.Memory, age logic.Micros, trust Trust, limits bool) logic.Memory {
 	fadeAge := age
-	if trust == None {
+	if trust == Unknown {
 		age, fadeAge = 0, logic.Micros(math.MaxInt64/8)
 	}
 	shift := func(at *logic.Micros) {
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -20,10 +20,10 @@
 	}{
 		"same boot":                    {Stamp{"b1", 103 * sec, 5}, 3 * sec, Exact, false},
 		"same boot, wall set back":     {Stamp{"b1", 103 * sec, 0}, 3 * sec, Exact, false},
-		"same boot, backward":          {Stamp{"b1", 99 * sec, 1000 * hour}, 0, None, true},
+		"same boot, backward":          {Stamp{"b1", 99 * sec, 1000 * hour}, 0, Unknown, true},
 		"another boot":                 {Stamp{"b2", sec, 1000*hour + minute}, minute, ByWallClock, false},
-		"another boot, clock set back": {Stamp{"b2", sec, 999 * hour}, 0, None, true},
-		"a year ahead":                 {Stamp{"b2", sec, 1000*hour + 2*maxClockJump}, 0, None, true},
+		"another boot, clock set back": {Stamp{"b2", sec, 999 * hour}, 0, Unknown, true},
+		"a year ahead":                 {Stamp{"b2", sec, 1000*hour + 2*maxClockJump}, 0, Unknown, true},
 		"boot not known":               {Stamp{"", 103 * sec, 1000*hour + sec}, sec, ByWallClock, false},
 	} {
 		age, how, complaint := Age(then, c.now)
@@ -36,7 +36,7 @@
 func TestLimits(t *testing.T) {
 	for _, clean := range []bool{false, true} {
 		for _, marked := range []bool{false, true} {
-			for _, trust := range []Trust{Exact, ByWallClock, None} {
+			for _, trust := range []Trust{Exact, ByWallClock, Unknown} {
 				if got := LimitsUsable(clean, marked, trust); got != (clean && marked && trust == Exact) {
 					t.Errorf("clean %v, marked %v, trust %d: %v", clean, marked, trust, got)
 				}
@@ -206,7 +206,7 @@
 	if short.Volumes[0].Balance != 0 || short.Volumes[1].Balance != -4 {
 		t.Errorf("balances %v, %v: credit must expire, a debt must stay", short.Volumes[0].Balance, short.Volumes[1].Balance)
 	}
-	for name, old := range map[string]logic.Memory{"a week": Fade(m, 7*24*hour, ByWallClock, false), "no telling": Fade(m, 0, None, false)} {
+	for name, old := range map[string]logic.Memory{"a week": Fade(m, 7*24*hour, ByWallClock, false), "no telling": Fade(m, 0, Unknown, false)} {
 		n := old.Nodes[0]
 		if n.Node.ID != 4 || n.Node.Cell != 2 || n.Window != [2]float64{} || n.Latency != 0 || n.Failing > 1e-9 || n.Missing != 0 || n.Down != 0 || n.Wait != 0 {
 			t.Errorf("%s: node %+v", name, n)
@@ -219,7 +219,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if none := Fade(m, 0, None, false); none.Nodes[0].Node.Started != 2*sec {
+	if none := Fade(m, 0, Unknown, false); none.Nodes[0].Node.Started != 2*sec {
 		t.Errorf("a start of unknown age counts as %d ago, want the reported age", none.Nodes[0].Node.Started)
 	}
 	if !reflect.DeepEqual(m.Nodes[0].SentLog, []logic.Past{{Age: ms, Units: 3}}) || !m.Volumes[0].Known {
