--- a/internal/front/ring/inflight.go
+++ b/internal/front/ring/inflight.go
@@ -183,7 +183,7 @@
 type found struct {
 	head    uint16
 	counter uint64
-	taken   recall.Taken
+	taken   recall.Unanswered
 	key     uint64
 	node    uint32
 }
@@ -224,7 +224,7 @@
 			continue
 		}
 		if r := t.record(head); r != nil {
-			x.taken = recall.Taken{Known: true, Sent: le.Uint32(r[28:]) != 0, Age: now - logic.Micros(le.Uint64(r)), First: now - logic.Micros(le.Uint64(r[8:]))}
+			x.taken = recall.Unanswered{Known: true, Sent: le.Uint32(r[28:]) != 0, Age: now - logic.Micros(le.Uint64(r)), First: now - logic.Micros(le.Uint64(r[8:]))}
 			x.key, x.node = le.Uint64(r[16:]), le.Uint32(r[24:])
 		}
 		list = append(list, x)
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -151,9 +151,9 @@
 	return out
 }
 
-// Taken is a request that an earlier process had taken from a client and not answered, as described by the inflight
+// Unanswered is a request that an earlier process had taken from a client and not answered, as described by the inflight
 // region that the client has kept.
-type Taken struct {
+type Unanswered struct {
 	Known     bool         // the region is valid; otherwise the other fields say nothing
 	Sent      bool         // an attempt was begun, or was about to be
 	Age       logic.Micros // since the request was taken
@@ -175,7 +175,7 @@
 
 // Resume decides what becomes of a request found in a client's ring after a restart; left is the time it has from now
 // on. A request that was never sent is sent; for one that may have been executed its class decides.
-func Resume(c *logic.Class, t Taken) (f Fate, left logic.Micros) {
+func Resume(c *logic.Class, t Unanswered) (f Fate, left logic.Micros) {
 	if left = c.Deadline; t.Known {
 		left -= max(t.Age, 0)
 	}
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -232,7 +232,7 @@
 	for _, repeat := range []logic.Repeat{logic.Retryable, logic.Dedup, logic.Fragile} {
 		for _, sent := range []bool{false, true} {
 			c := &logic.Class{Deadline: 2 * sec, Repeat: repeat, RepeatWindow: 4 * sec}
-			fate, _ := Resume(c, Taken{Known: true, Sent: sent, Age: HandWait, First: HandWait, SameGroup: true})
+			fate, _ := Resume(c, Unanswered{Known: true, Sent: sent, Age: HandWait, First: HandWait, SameGroup: true})
 			if MustFinish(c, sent) != (fate == Fail) {
 				t.Errorf("repeat %d, sent %v: must finish %v, the next process's fate is %d", repeat, sent, MustFinish(c, sent), fate)
 			}
@@ -246,24 +246,24 @@
 	unsafe := logic.Class{Deadline: 2 * sec, Repeat: logic.Fragile}
 	for name, c := range map[string]struct {
 		class logic.Class
-		taken Taken
+		taken Unanswered
 		fate  Fate
 		left  logic.Micros
 	}{
-		"never sent":                   {unsafe, Taken{Known: true, Age: sec}, Again, sec},
-		"never sent, too old":          {unsafe, Taken{Known: true, Age: 3 * sec}, Refuse, 0},
-		"safe, sent":                   {safe, Taken{Known: true, Sent: true, Age: sec, First: sec}, Again, sec},
-		"safe, sent, too old":          {safe, Taken{Known: true, Sent: true, Age: 2 * sec}, Refuse, 0},
-		"safe, a foreign region":       {safe, Taken{}, Again, 2 * sec},
-		"keyed, remembered":            {keyed, Taken{Known: true, Sent: true, Age: 500 * ms, First: 400 * ms, SameGroup: true}, Again, 600 * ms},
-		"keyed, barely remembered":     {keyed, Taken{Known: true, Sent: true, Age: 900 * ms, First: 900 * ms, SameGroup: true}, Fail, 0},
-		"keyed, forgotten":             {keyed, Taken{Known: true, Sent: true, Age: 1500 * ms, First: 1500 * ms, SameGroup: true}, Fail, 0},
-		"keyed, another group":         {keyed, Taken{Known: true, Sent: true}, Fail, 0},
-		"keyed, a foreign region":      {keyed, Taken{SameGroup: true}, Fail, 0},
-		"keyed, sent, deadline passed": {keyed, Taken{Known: true, Sent: true, Age: 3 * sec, SameGroup: true}, Fail, 0},
-		"unsafe, sent":                 {unsafe, Taken{Known: true, Sent: true}, Fail, 0},
-		"unsafe, a foreign region":     {unsafe, Taken{}, Fail, 0},
-		"a clock that went backward":   {safe, Taken{Known: true, Age: -sec}, Again, 2 * sec},
+		"never sent":                   {unsafe, Unanswered{Known: true, Age: sec}, Again, sec},
+		"never sent, too old":          {unsafe, Unanswered{Known: true, Age: 3 * sec}, Refuse, 0},
+		"safe, sent":                   {safe, Unanswered{Known: true, Sent: true, Age: sec, First: sec}, Again, sec},
+		"safe, sent, too old":          {safe, Unanswered{Known: true, Sent: true, Age: 2 * sec}, Refuse, 0},
+		"safe, a foreign region":       {safe, Unanswered{}, Again, 2 * sec},
+		"keyed, remembered":            {keyed, Unanswered{Known: true, Sent: true, Age: 500 * ms, First: 400 * ms, SameGroup: true}, Again, 600 * ms},
+		"keyed, barely remembered":     {keyed, Unanswered{Known: true, Sent: true, Age: 900 * ms, First: 900 * ms, SameGroup: true}, Fail, 0},
+		"keyed, forgotten":             {keyed, Unanswered{Known: true, Sent: true, Age: 1500 * ms, First: 1500 * ms, SameGroup: true}, Fail, 0},
+		"keyed, another group":         {keyed, Unanswered{Known: true, Sent: true}, Fail, 0},
+		"keyed, a foreign region":      {keyed, Unanswered{SameGroup: true}, Fail, 0},
+		"keyed, sent, deadline passed": {keyed, Unanswered{Known: true, Sent: true, Age: 3 * sec, SameGroup: true}, Fail, 0},
+		"unsafe, sent":                 {unsafe, Unanswered{Known: true, Sent: true}, Fail, 0},
+		"unsafe, a foreign region":     {unsafe, Unanswered{}, Fail, 0},
+		"a clock that went backward":   {safe, Unanswered{Known: true, Age: -sec}, Again, 2 * sec},
 	} {
 		if f, left := Resume(&c.class, c.taken); f != c.fate || left != c.left {
 			t.Errorf("%s: %d with %d left, want %d with %d", name, f, left, c.fate, c.left)
