--- a/recall/recall.go
+++ b/recall/recall.go
@@ -161,13 +161,13 @@
 	SameGroup bool         // its data is only on nodes of the group that drops its repeats
 }
 
-// Fate is what becomes of a Taken request.
-type Fate uint8
+// Decision is what becomes of a Taken request.
+type Decision uint8
 
 const (
-	Again  Fate = iota // taken again, with the time that is left
-	Refuse             // answered as refused; a retry is harmless
-	Fail               // answered as failed, with no promise
+	Again  Decision = iota // taken again, with the time that is left
+	Refuse                 // answered as refused; a retry is harmless
+	Fail                   // answered as failed, with no promise
 )
 
 // minRepeatTimeLeft is how much of the time for which nodes drop repeats must be left for a repeat to be sent.
@@ -175,7 +175,7 @@
 
 // Resume decides what becomes of a request found in a client's ring after a restart; left is the time it has from now
 // on. A request that was never sent is sent; for one that may have been executed its class decides.
-func Resume(c *logic.Class, t Unanswered) (f Fate, left logic.Micros) {
+func Resume(c *logic.Class, t Unanswered) (f Decision, left logic.Micros) {
 	if left = c.Deadline; t.Known {
 		left -= max(t.Age, 0)
 	}
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -247,7 +247,7 @@
 	for name, c := range map[string]struct {
 		class logic.Class
 		taken Unanswered
-		fate  Fate
+		fate  Decision
 		left  logic.Micros
 	}{
 		"never sent":                   {unsafe, Unanswered{Known: true, Age: sec}, Again, sec},
