--- a/internal/front/ring/vring.go
+++ b/internal/front/ring/vring.go
@@ -372,7 +372,7 @@
 	class, _ := s.dev.Class(p.kind, p.len)
 	x.taken.SameGroup = s.server.sameGroup(class, s.dev, &p.parsed, logic.NodeID(x.node))
 	fate, left := recall.Resume(&s.server.cfg.Logic.Classes[class], x.taken)
-	if fate != recall.Again {
+	if fate != recall.Retry {
 		verdict := block.Refused
 		if fate == recall.Fail {
 			verdict = block.Failed
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -165,7 +165,7 @@
 type Decision uint8
 
 const (
-	Again  Decision = iota // taken again, with the time that is left
+	Retry  Decision = iota // taken again, with the time that is left
 	Refuse                 // answered as refused; a retry is harmless
 	Fail                   // answered as failed, with no promise
 )
@@ -188,11 +188,11 @@
 		if !t.Known || !t.SameGroup || repeatTimeLeft < minRepeatTimeLeft || left <= 0 {
 			return Fail, 0
 		}
-		return Again, min(left, repeatTimeLeft)
+		return Retry, min(left, repeatTimeLeft)
 	case left <= 0:
 		return Refuse, 0
 	}
-	return Again, left
+	return Retry, left
 }
 
 // HandWait is how long a gateway waits for requests in flight at the nodes when it hands over its clients. A longer
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -250,12 +250,12 @@
 		fate  Decision
 		left  logic.Micros
 	}{
-		"never sent":                   {unsafe, Unanswered{Known: true, Age: sec}, Again, sec},
+		"never sent":                   {unsafe, Unanswered{Known: true, Age: sec}, Retry, sec},
 		"never sent, too old":          {unsafe, Unanswered{Known: true, Age: 3 * sec}, Refuse, 0},
-		"safe, sent":                   {safe, Unanswered{Known: true, Sent: true, Age: sec, First: sec}, Again, sec},
+		"safe, sent":                   {safe, Unanswered{Known: true, Sent: true, Age: sec, First: sec}, Retry, sec},
 		"safe, sent, too old":          {safe, Unanswered{Known: true, Sent: true, Age: 2 * sec}, Refuse, 0},
-		"safe, a foreign region":       {safe, Unanswered{}, Again, 2 * sec},
-		"keyed, remembered":            {keyed, Unanswered{Known: true, Sent: true, Age: 500 * ms, First: 400 * ms, SameGroup: true}, Again, 600 * ms},
+		"safe, a foreign region":       {safe, Unanswered{}, Retry, 2 * sec},
+		"keyed, remembered":            {keyed, Unanswered{Known: true, Sent: true, Age: 500 * ms, First: 400 * ms, SameGroup: true}, Retry, 600 * ms},
 		"keyed, barely remembered":     {keyed, Unanswered{Known: true, Sent: true, Age: 900 * ms, First: 900 * ms, SameGroup: true}, Fail, 0},
 		"keyed, forgotten":             {keyed, Unanswered{Known: true, Sent: true, Age: 1500 * ms, First: 1500 * ms, SameGroup: true}, Fail, 0},
 		"keyed, another group":         {keyed, Unanswered{Known: true, Sent: true}, Fail, 0},
@@ -263,7 +263,7 @@
 		"keyed, sent, deadline passed": {keyed, Unanswered{Known: true, Sent: true, Age: 3 * sec, SameGroup: true}, Fail, 0},
 		"unsafe, sent":                 {unsafe, Unanswered{Known: true, Sent: true}, Fail, 0},
 		"unsafe, a foreign region":     {unsafe, Unanswered{}, Fail, 0},
-		"a clock that went backward":   {safe, Unanswered{Known: true, Age: -sec}, Again, 2 * sec},
+		"a clock that went backward":   {safe, Unanswered{Known: true, Age: -sec}, Retry, 2 * sec},
 	} {
 		if f, left := Resume(&c.class, c.taken); f != c.fate || left != c.left {
 			t.Errorf("%s: %d with %d left, want %d with %d", name, f, left, c.fate, c.left)
