--- a/internal/front/ring/handover.go
+++ b/internal/front/ring/handover.go
@@ -194,7 +194,7 @@
 func (s *session) standStill(ask chan<- *frozen) (goOn bool) {
 	f := &frozen{s: s, resumed: make(chan bool, 1)}
 	was := make([]bool, len(s.rings))
-	until := time.Now().Add(time.Duration(recall.HandWait) * time.Microsecond)
+	until := time.Now().Add(time.Duration(recall.HandoverWait) * time.Microsecond)
 	for i, v := range s.rings {
 		if v.run != nil {
 			was[i] = true
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -195,10 +195,10 @@
 	return Retry, left
 }
 
-// HandWait is how long a gateway waits for requests in flight at the nodes when it hands over its clients. A longer
+// HandoverWait is how long a gateway waits for requests in flight at the nodes when it hands over its clients. A longer
 // wait saves repeats, a shorter one delays the other requests less.
-const HandWait = 250 * ms
+const HandoverWait = 250 * ms
 
 // MustFinish reports whether only the process that has sent a request can answer it. The handover then waits for it
-// beyond [HandWait], at most until its deadline: the next process could only fail an unsafe request that was sent.
+// beyond [HandoverWait], at most until its deadline: the next process could only fail an unsafe request that was sent.
 func MustFinish(c *logic.Class, sent bool) bool { return sent && c.Repeat == logic.Fragile }
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -232,7 +232,7 @@
 	for _, repeat := range []logic.Repeat{logic.Retryable, logic.Dedup, logic.Fragile} {
 		for _, sent := range []bool{false, true} {
 			c := &logic.Class{Deadline: 2 * sec, Repeat: repeat, RepeatWindow: 4 * sec}
-			fate, _ := Resume(c, Unanswered{Known: true, Sent: sent, Age: HandWait, First: HandWait, SameGroup: true})
+			fate, _ := Resume(c, Unanswered{Known: true, Sent: sent, Age: HandoverWait, First: HandoverWait, SameGroup: true})
 			if MustFinish(c, sent) != (fate == Fail) {
 				t.Errorf("repeat %d, sent %v: must finish %v, the next process's fate is %d", repeat, sent, MustFinish(c, sent), fate)
 			}
