--- a/spares/spares.go
+++ b/spares/spares.go
@@ -60,7 +60,7 @@
 	answerBytes    int
 	maxIdle        logic.Micros
 	open           int
-	idleConns      map[logic.NodeID][]*Conn // longest idle first
+	idleLines      map[logic.NodeID][]*Conn // longest idle first
 	losses         [ageClasses]lossRecord   // by the age class of the connection when it was used
 	Tally          Tally
 }
@@ -74,12 +74,12 @@
 // New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together.
 // Targets close a connection that was idle for the given time.
 func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Pool {
-	return &Pool{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleConns: map[logic.NodeID][]*Conn{}}
+	return &Pool{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Conn{}}
 }
 
 // Open returns the number of connections, and how many of them are idle.
 func (s *Pool) Open() (open, idle int) {
-	for _, l := range s.idleConns {
+	for _, l := range s.idleLines {
 		idle += len(l)
 	}
 	return s.open, idle
@@ -88,7 +88,7 @@
 // Pick returns an idle connection for the node's next request, or nil if a new one is needed. Of the connections that
 // have settled it takes the one used last, so that the others reach their maximum idle time.
 func (s *Pool) Pick(now logic.Micros, node logic.NodeID) *Conn {
-	list := s.idleConns[node]
+	list := s.idleLines[node]
 	for i := len(list) - 1; i >= 0; i-- {
 		if line := list[i]; now-line.idleSince >= settleTime && now-line.idleSince < s.maxIdle && s.usableAt(now, ageClass(now-line.idleSince)) {
 			s.removeIdle(line)
@@ -130,7 +130,7 @@
 // which the caller must close; ok is false if no connection is idle.
 func (s *Pool) Reserve() (evicted *Conn, ok bool) {
 	if s.open >= s.maxOpen {
-		for _, list := range s.idleConns {
+		for _, list := range s.idleLines {
 			if len(list) > 0 && (evicted == nil || list[0].idleSince < evicted.idleSince || list[0].idleSince == evicted.idleSince && list[0].node < evicted.node) {
 				evicted = list[0]
 			}
@@ -151,7 +151,7 @@
 // MarkIdle records that a connection has no request in flight.
 func (s *Pool) MarkIdle(now logic.Micros, node logic.NodeID, l *Conn) {
 	l.node, l.idleSince, l.idle = node, now, true
-	s.idleConns[node] = append(s.idleConns[node], l)
+	s.idleLines[node] = append(s.idleLines[node], l)
 }
 
 // MarkClosed records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
@@ -170,7 +170,7 @@
 
 // Overdue removes and returns the next connection that was idle for too long, or nil.
 func (s *Pool) Overdue(now logic.Micros) (overdue *Conn) {
-	for _, list := range s.idleConns {
+	for _, list := range s.idleLines {
 		if l := list[0]; now-l.idleSince >= s.maxIdle && (overdue == nil || l.node < overdue.node) {
 			overdue = l
 		}
@@ -199,7 +199,7 @@
 
 func (s *Pool) removeIdle(l *Conn) {
 	l.idle = false
-	list := s.idleConns[l.node]
+	list := s.idleLines[l.node]
 	for i, x := range list {
 		if x == l {
 			list = append(list[:i], list[i+1:]...)
@@ -207,8 +207,8 @@
 		}
 	}
 	if len(list) == 0 {
-		delete(s.idleConns, l.node)
+		delete(s.idleLines, l.node)
 	} else {
-		s.idleConns[l.node] = list
+		s.idleLines[l.node] = list
 	}
 }
