--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -329,7 +329,7 @@
 
 // Draining implements [initiator.Watcher].
 func (g *Gateway) Draining(id logic.NodeID, is bool) {
-	g.news(func(m *members.Members) { m.Draining(id, is) })
+	g.news(func(m *members.Members) { m.SetDraining(id, is) })
 }
 
 // Lost implements [initiator.Watcher].
--- a/members/members.go
+++ b/members/members.go
@@ -133,8 +133,8 @@
 
 const startTolerance logic.Micros = 500_000
 
-// Draining records what a node's own ANA log page reports: whether any group in use takes no new work.
-func (m *Members) Draining(id logic.NodeID, draining bool) {
+// SetDraining records what a node's own ANA log page reports: whether any group in use takes no new work.
+func (m *Members) SetDraining(id logic.NodeID, draining bool) {
 	if n := m.find(id); n != nil {
 		n.draining = draining
 	}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -104,12 +104,12 @@
 func TestDraining(t *testing.T) {
 	m := twoNodes(false)
 	m.Changes(nil)
-	m.Draining(2, true)
+	m.SetDraining(2, true)
 	if got := states(m); len(got) != 1 || got[2] != logic.Draining {
 		t.Errorf("%v, want 2 draining", got)
 	}
-	m.Draining(2, false)
-	m.Draining(9, true)
+	m.SetDraining(2, false)
+	m.SetDraining(9, true)
 	if got := states(m); len(got) != 1 || got[2] != logic.Ready {
 		t.Errorf("%v, want 2 ready again", got)
 	}
