--- a/leave/leave.go
+++ b/leave/leave.go
@@ -24,14 +24,14 @@
 	LingerTime = 40 * ms
 )
 
-// Shutdown is the state of a shutdown. startedAt is valid only once started is set.
+// Shutdown is the state of a graceful shutdown. startedAt is valid only once started is set.
 type Shutdown struct {
 	longest   logic.Micros // longest deadline of any request
 	startedAt logic.Micros
 	started   bool
 }
 
-// New returns a Leave for requests with the given longest deadline.
+// New returns a Shutdown for requests with the given longest deadline.
 func New(longest logic.Micros) *Shutdown { return &Shutdown{longest: min(longest, maxDeadline)} }
 
 // Start starts the shutdown; further calls have no effect.
--- a/leave/leave_test.go
+++ b/leave/leave_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// The latest exit and LastLook together end before the kill.
+// The latest exit and LingerTime together end before the kill.
 func TestLastLookFits(t *testing.T) {
 	l := New(3 * sec)
 	l.Start(0)
--- a/links/links.go
+++ b/links/links.go
@@ -66,8 +66,8 @@
 	l.connected, l.connectedAt, l.lastReceived, l.strays = true, now, now, l.strays[:0]
 }
 
-// Disconnected records that the node could not be reached or that the connection is gone, and returns the time of the next
-// dial.
+// Disconnected records that the node could not be reached or that the connection is gone, and returns the time of the
+// next dial.
 func (l *Link) Disconnected(now logic.Micros) logic.Micros {
 	if l.connected && now-l.connectedAt >= stableAfter {
 		l.failures = 0
@@ -94,8 +94,8 @@
 	return len(l.strays) > maxStrays
 }
 
-// LostIDs describes the command ids whose answers are no longer waited for: how many ids the queue has, how many of them
-// are lost, and when the oldest of those was sent; 0: none.
+// LostIDs describes the command ids whose answers are no longer waited for: how many ids the queue has, how many of
+// them are lost, and when the oldest of those was sent; 0: none.
 type LostIDs struct {
 	Capacity, Count int
 	Oldest          logic.Micros
--- a/members/follow.go
+++ b/members/follow.go
@@ -77,8 +77,8 @@
 	return heard + watchTimeout
 }
 
-// WatchEnded records that a watch that began at the given time has ended or could not be set up. It returns the delay before
-// the next one.
+// WatchEnded records that a watch that began at the given time has ended or could not be set up. It returns the delay
+// before the next one.
 func (f *Follower) WatchEnded(now, begun logic.Micros) (delay logic.Micros) {
 	if now-begun >= stableAfter {
 		f.failures = 0
@@ -90,9 +90,9 @@
 	return delay
 }
 
-// Accepts reports whether data from the use-th address is still taken. A watch that was replaced by a newer one must not
-// undo what the newer one has delivered, since its list may be older. Harm: the old address is not used any more once
-// the new one delivers.
+// Accepts reports whether data from the use-th address is still taken. A watch that was replaced by a newer one must
+// not undo what the newer one has delivered, since its list may be older. Harm: the old address is not used any more
+// once the new one delivers.
 func (f *Follower) Accepts(use int) bool { return use >= f.newestUse }
 
 // Delivered records that the use-th address has delivered readable data.
--- a/members/follow_test.go
+++ b/members/follow_test.go
@@ -11,8 +11,8 @@
 	return Target{Node: logic.Node{ID: logic.NodeID(id), State: state}, Name: fmt.Sprint("t", id), Address: fmt.Sprint("10.0.0.", id, ":1")}
 }
 
-// told delivers the news and expects exactly the given targets to change, in order of ids.
-func told(t *testing.T, f *Follower, n Update, first bool, changed ...logic.NodeID) {
+// deliver applies the update and expects exactly the given targets to change, in order of ids.
+func deliver(t *testing.T, f *Follower, n Update, first bool, changed ...logic.NodeID) {
 	t.Helper()
 	nodes, again, err := f.Receive(1*sec, n, first)
 	if again || err != nil || len(nodes) != len(changed) {
@@ -39,18 +39,18 @@
 	if whole, after := f.NextRequest(); len(first) != 2 || whole || after != 41 {
 		t.Fatal(first, whole, after)
 	}
-	told(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Draining), target(3, logic.Ready)}}, true, 2, 3)
-	told(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Ready)}}, false) // a repeated delivery
-	told(t, f, Update{Revision: 44, Targets: []Target{target(2, logic.Gone)}}, false, 2)
+	deliver(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Draining), target(3, logic.Ready)}}, true, 2, 3)
+	deliver(t, f, Update{Revision: 43, Targets: []Target{target(2, logic.Ready)}}, false) // a repeated delivery
+	deliver(t, f, Update{Revision: 44, Targets: []Target{target(2, logic.Gone)}}, false, 2)
 	if address(f, 2) != "" || address(f, 3) != "10.0.0.3:1" {
 		t.Fatal("wrong addresses")
 	}
 	// Targets missing from a full list are removed.
-	told(t, f, Update{Revision: 50, Complete: true, Targets: []Target{target(3, logic.Ready), target(4, logic.Ready)}}, true, 1, 4)
+	deliver(t, f, Update{Revision: 50, Complete: true, Targets: []Target{target(3, logic.Ready), target(4, logic.Ready)}}, true, 1, 4)
 	// A changed address alone is a change.
 	moved := target(3, logic.Ready)
 	moved.Address = "10.9.9.9:1"
-	told(t, f, Update{Revision: 51, Targets: []Target{moved}}, false, 3)
+	deliver(t, f, Update{Revision: 51, Targets: []Target{moved}}, false, 3)
 	if address(f, 3) != "10.9.9.9:1" {
 		t.Fatal("the address has not changed")
 	}
@@ -65,11 +65,11 @@
 		if whole, _ := f.NextRequest(); !again || !whole || err != nil || len(changed) != 0 {
 			t.Fatal(changed, again, whole, err)
 		}
-		told(t, f, Update{Revision: 2, Complete: true, Targets: []Target{target(2, logic.Draining)}}, true, 1, 2)
+		deliver(t, f, Update{Revision: 2, Complete: true, Targets: []Target{target(2, logic.Draining)}}, true, 1, 2)
 		if whole, after := f.NextRequest(); whole || after != 2 {
 			t.Fatal(whole, after)
 		}
-		told(t, f, Update{Revision: 3, Targets: []Target{target(2, logic.Gone)}}, false, 2)
+		deliver(t, f, Update{Revision: 3, Targets: []Target{target(2, logic.Gone)}}, false, 2)
 	}
 }
 
@@ -78,7 +78,7 @@
 	if changed, again, err := f.Receive(0, Update{Revision: 3, Complete: true}, true); len(changed) != 0 || again || err == nil {
 		t.Fatal("an empty list must change nothing and must be complained about")
 	}
-	told(t, f, Update{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // later changes build on its revision
+	deliver(t, f, Update{Revision: 4, Targets: []Target{target(2, logic.Ready)}}, false, 2) // later changes build on its revision
 	other := Target{Node: target(2, logic.Ready).Node, Name: "other"}
 	changed, again, err := f.Receive(0, Update{Revision: 5, Targets: []Target{other, target(1, logic.Draining)}}, false)
 	if again || err == nil || len(changed) != 1 || changed[0].ID != 1 {
--- a/members/members.go
+++ b/members/members.go
@@ -1,6 +1,6 @@
 // Package members keeps the list of a gateway's storage nodes: which there are, whether they take work, and when their
 // processes started. It merges the settings, the discovery log, the nodes' ANA log pages and the state of the
-// connections into the node list that package logic receives. Type Follow does this for the platform's discovery.
+// connections into the node list that package logic receives. Type Follower does this for the platform's discovery.
 //
 // It guards against a directory that delivers late, repeats itself, flaps or loses its state. Harm: nodes that are
 // taken out while their directory has just started stay in use until they fail.
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -70,9 +70,9 @@
 	return age, ByWallClock, ""
 }
 
-// LimitsUsable reports whether the stored state of limits may be used. The gateway must have shut down by itself, so that
-// nothing was drawn after the state was written; the age must be exact, because the store refills by it; and the state
-// must be marked as used, so that no other process uses it a second time.
+// LimitsUsable reports whether the stored state of limits may be used. The gateway must have shut down by itself, so
+// that nothing was drawn after the state was written; the age must be exact, because the store refills by it; and the
+// state must be marked as used, so that no other process uses it a second time.
 func LimitsUsable(clean, marked bool, trust Trust) bool { return clean && marked && trust == Exact }
 
 // Fade ages a memory. An unknown age counts as very long for figures that fade, and as zero for debts.
@@ -151,8 +151,8 @@
 	return out
 }
 
-// Unanswered is a request that an earlier process had taken from a client and not answered, as described by the inflight
-// region that the client has kept.
+// Unanswered is a request that an earlier process had taken from a client and not answered, as described by the
+// inflight region that the client has kept.
 type Unanswered struct {
 	Known     bool         // the region is valid; otherwise the other fields say nothing
 	Sent      bool         // an attempt was begun, or was about to be
@@ -161,7 +161,7 @@
 	SameGroup bool         // its data is only on nodes of the group that drops its repeats
 }
 
-// Decision is what becomes of a Taken request.
+// Decision is what becomes of an Unanswered request.
 type Decision uint8
 
 const (
--- a/seats/seats.go
+++ b/seats/seats.go
@@ -109,8 +109,8 @@
 // New returns an empty table.
 func New(l Limits) *Table { return &Table{limits: l} }
 
-// BeginShutdown starts the shutdown: no new connections arrive from now on, so idle ones are kept. Clients whose connections
-// were closed as usual during a shutdown had nowhere to send to until the process was back.
+// BeginShutdown starts the shutdown: no new connections arrive from now on, so idle ones are kept. Clients whose
+// connections were closed as usual during a shutdown had nowhere to send to until the process was back.
 func (t *Table) BeginShutdown() { t.shuttingDown = true }
 
 // MaxHeld returns how many requests should be held at once; 0: no limit.
@@ -172,8 +172,8 @@
 	return s, evicted
 }
 
-// SetState changes the state of a connection. An idle connection holds no body bytes, and one that is lingering or released
-// keeps its state.
+// SetState changes the state of a connection. An idle connection holds no body bytes, and one that is lingering or
+// released keeps its state.
 func (t *Table) SetState(now logic.Micros, s *Seat, to State) {
 	if s.state == to && to != Idle || s.Closing() {
 		return
@@ -320,7 +320,7 @@
 	return out
 }
 
-// Busy returns the number of connections that are receiving a request or sending its answer.
+// Busy returns the number of connections on which a request is being read, served or answered.
 func (t *Table) Busy() int {
 	return t.lists[ReadingFirst].length + t.lists[ReadingNext].length + t.lists[Serving].length + t.lists[Sending].length
 }
--- a/spares/spares.go
+++ b/spares/spares.go
@@ -23,7 +23,7 @@
 	settleTime = 20 * ms
 
 	// Some targets, or the devices in front of them, drop connections long before the configured time and show it only
-	// to the next request. The set therefore records the outcomes of requests on reused connections by how long these
+	// to the next request. The pool therefore records the outcomes of requests on reused connections by how long these
 	// had been idle; connections of an age class with more than maxLossShare losses, and at least minLosses, are not
 	// used. Records lose half of their weight within lossHalfLife, so that an age class is tried again. In a trace 40%
 	// of the connections idle for 0.2 to 0.5 s were reset, and 9% of younger ones, as of new ones. Harm: new
@@ -60,26 +60,26 @@
 	answerBytes    int
 	maxIdle        logic.Micros
 	open           int
-	idleLines      map[logic.NodeID][]*Conn // longest idle first
+	idleConns      map[logic.NodeID][]*Conn // longest idle first
 	losses         [ageClasses]lossRecord   // by the age class of the connection when it was used
 	Tally          Tally
 }
 
-// Tally counts the decisions of a Set.
+// Tally counts the decisions of a Pool.
 type Tally struct {
 	Opened, Used, Aged, Displaced, Turned, NoRoom uint64
 	Most                                          int
 }
 
-// New returns an empty set for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together.
+// New returns an empty pool for up to maxOpen connections, whose long answers may occupy maxAnswerBytes together.
 // Targets close a connection that was idle for the given time.
 func New(maxOpen, maxAnswerBytes int, idle logic.Micros) *Pool {
-	return &Pool{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleLines: map[logic.NodeID][]*Conn{}}
+	return &Pool{maxOpen: maxOpen, maxAnswerBytes: maxAnswerBytes, maxIdle: logic.Micros(float64(idle) * usableIdleShare), idleConns: map[logic.NodeID][]*Conn{}}
 }
 
 // Open returns the number of connections, and how many of them are idle.
 func (s *Pool) Open() (open, idle int) {
-	for _, l := range s.idleLines {
+	for _, l := range s.idleConns {
 		idle += len(l)
 	}
 	return s.open, idle
@@ -88,13 +88,13 @@
 // Pick returns an idle connection for the node's next request, or nil if a new one is needed. Of the connections that
 // have settled it takes the one used last, so that the others reach their maximum idle time.
 func (s *Pool) Pick(now logic.Micros, node logic.NodeID) *Conn {
-	list := s.idleLines[node]
+	list := s.idleConns[node]
 	for i := len(list) - 1; i >= 0; i-- {
-		if line := list[i]; now-line.idleSince >= settleTime && now-line.idleSince < s.maxIdle && s.usableAt(now, ageClass(now-line.idleSince)) {
-			s.removeIdle(line)
-			line.usedAgeClass = 1 + ageClass(now-line.idleSince)
+		if conn := list[i]; now-conn.idleSince >= settleTime && now-conn.idleSince < s.maxIdle && s.usableAt(now, ageClass(now-conn.idleSince)) {
+			s.removeIdle(conn)
+			conn.usedAgeClass = 1 + ageClass(now-conn.idleSince)
 			s.Tally.Used++
-			return line
+			return conn
 		}
 	}
 	return nil
@@ -114,9 +114,9 @@
 	l.usedAgeClass = 0
 }
 
-func (f *lossRecord) decay(now logic.Micros) {
-	factor := math.Exp2(-float64(now-f.updatedAt) / float64(lossHalfLife))
-	f.lost, f.total, f.updatedAt = f.lost*factor, f.total*factor, now
+func (r *lossRecord) decay(now logic.Micros) {
+	factor := math.Exp2(-float64(now-r.updatedAt) / float64(lossHalfLife))
+	r.lost, r.total, r.updatedAt = r.lost*factor, r.total*factor, now
 }
 
 // usableAt reports whether connections of the given age class are used.
@@ -130,7 +130,7 @@
 // which the caller must close; ok is false if no connection is idle.
 func (s *Pool) Reserve() (evicted *Conn, ok bool) {
 	if s.open >= s.maxOpen {
-		for _, list := range s.idleLines {
+		for _, list := range s.idleConns {
 			if len(list) > 0 && (evicted == nil || list[0].idleSince < evicted.idleSince || list[0].idleSince == evicted.idleSince && list[0].node < evicted.node) {
 				evicted = list[0]
 			}
@@ -151,11 +151,11 @@
 // MarkIdle records that a connection has no request in flight.
 func (s *Pool) MarkIdle(now logic.Micros, node logic.NodeID, l *Conn) {
 	l.node, l.idleSince, l.idle = node, now, true
-	s.idleLines[node] = append(s.idleLines[node], l)
+	s.idleConns[node] = append(s.idleConns[node], l)
 }
 
-// MarkClosed records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted or
-// overdue connection reports its closing once more; if that counted, the number of open connections would fall below
+// MarkClosed records that a connection is closed or about to be; repeated calls have no effect. The owner of an evicted
+// or overdue connection reports its closing once more; if that counted, the number of open connections would fall below
 // zero and their limit would not hold.
 func (s *Pool) MarkClosed(l *Conn) {
 	if l.closed {
@@ -170,7 +170,7 @@
 
 // Overdue removes and returns the next connection that was idle for too long, or nil.
 func (s *Pool) Overdue(now logic.Micros) (overdue *Conn) {
-	for _, list := range s.idleLines {
+	for _, list := range s.idleConns {
 		if l := list[0]; now-l.idleSince >= s.maxIdle && (overdue == nil || l.node < overdue.node) {
 			overdue = l
 		}
@@ -182,9 +182,9 @@
 	return overdue
 }
 
-// ReserveBytes reserves bytes for an answer of more than a few KiB. It returns false if all long answers together would exceed
-// their share of the memory. Harm: a target that announces long answers and sends nothing occupies the bytes until its
-// attempts time out.
+// ReserveBytes reserves bytes for an answer of more than a few KiB. It returns false if all long answers together would
+// exceed their share of the memory. Harm: a target that announces long answers and sends nothing occupies the bytes
+// until its attempts time out.
 func (s *Pool) ReserveBytes(bytes int) bool {
 	if s.answerBytes+bytes > s.maxAnswerBytes {
 		s.Tally.NoRoom++
@@ -199,7 +199,7 @@
 
 func (s *Pool) removeIdle(l *Conn) {
 	l.idle = false
-	list := s.idleLines[l.node]
+	list := s.idleConns[l.node]
 	for i, x := range list {
 		if x == l {
 			list = append(list[:i], list[i+1:]...)
@@ -207,8 +207,8 @@
 		}
 	}
 	if len(list) == 0 {
-		delete(s.idleLines, l.node)
+		delete(s.idleConns, l.node)
 	} else {
-		s.idleLines[l.node] = list
+		s.idleConns[l.node] = list
 	}
 }
