--- a/leave/leave.go
+++ b/leave/leave.go
@@ -20,7 +20,7 @@
 	// New connections may still arrive for acceptTime; a process without clients does not exit before.
 	acceptTime = 600 * ms
 	// LingerTime is how long clients then have to read the last answers and to learn that requests sent while their
-	// connection was being closed were not taken. It must fit into answerMargin; a test checks the sum.
+	// connection was being closed were not taken. It must fit into what is left of answerMargin; a test checks the sum.
 	LingerTime = 40 * ms
 )
 
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -152,9 +152,9 @@
 }
 
 // Unanswered is a request that an earlier process had taken from a client and not answered, as described by the
-// inflight region that the client has kept.
+// inflight region that the client has kept. If Known is false, all that is known is that the request was taken.
 type Unanswered struct {
-	Known     bool         // the region is valid; otherwise the other fields say nothing
+	Known     bool         // the region is this gateway's and sets the fields below
 	Sent      bool         // an attempt was begun, or was about to be
 	Age       logic.Micros // since the request was taken
 	First     logic.Micros // since the first attempt
