--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -1,5 +1,5 @@
-// Package drive carries a [logic.Host] through time for the cores that stand on it: the ends of its attempts, its
-// timers, and the shell that gives a core real time. It decides nothing.
+// Package drive is the event loop around a [logic.Host]. [Host] collects the events of a core, tracks the deadlines of
+// its attempts and its timers; [Loop] runs a core in real time. All decisions are left to package logic.
 package drive
 
 import (
@@ -9,140 +9,142 @@
 	"appleplank/logic"
 )
 
-// Attempt is one Send of logic's, until logic has heard of its end.
+// Attempt is one [logic.Send], tracked until its end is reported to logic.
 type Attempt struct {
 	Request logic.RequestID
-	Number  int // counts the request's sends from zero
+	Number  int // index of the attempt within its request, from zero
 	Node    logic.NodeID
 	Sent    logic.Micros
-	StopAt  logic.Micros // logic hears of a time-out then
-	Owner   any          // the core's own
+	StopAt  logic.Micros // when the attempt times out
+	Owner   any          // set and used by the core only
 
-	out   bool // logic waits for its end
-	place int  // in the heap, plus one; 0: not there
+	pending      bool // its end is not reported to logic yet
+	heapPosition int  // index in the deadline heap plus one; 0: not in the heap
 }
 
-// Out tells whether logic still waits for its end.
-func (a *Attempt) Out() bool { return a.out }
+// Out reports whether logic still waits for the end of the attempt.
+func (a *Attempt) Out() bool { return a.pending }
 
-// Host is a logic.Host with what has happened and not been told to it yet.
+// Host is a [logic.Host] together with the events queued for its next step, its attempts in flight and its timers.
 type Host struct {
 	*logic.Host
-	due     dueHeap
-	wakes   []wake
-	events  []logic.Event
-	actions []logic.Action
+	attempts deadlineHeap
+	timers   []timer
+	events   []logic.Event
+	actions  []logic.Action
 }
 
-type wake struct {
-	at    logic.Micros
+type timer struct {
+	dueAt logic.Micros
 	token uint32
 }
 
-// Tell adds an event to the next Step.
+// Tell queues an event for the next call of Run.
 func (h *Host) Tell(e logic.Event) { h.events = append(h.events, e) }
 
-// Sent notes an attempt that logic has asked for.
+// Sent starts tracking an attempt that logic has asked for.
 func (h *Host) Sent(a *Attempt) {
-	a.out = true
-	heap.Push(&h.due, a)
+	a.pending = true
+	heap.Push(&h.attempts, a)
 }
 
-// Bound makes an attempt's time end at the given time, if it would end later.
-func (h *Host) Bound(a *Attempt, by logic.Micros) {
-	if a.StopAt > by && a.place > 0 {
-		a.StopAt = by
-		heap.Fix(&h.due, a.place-1)
+// Bound moves the time-out of an attempt forward to deadline, unless it is due earlier.
+func (h *Host) Bound(a *Attempt, deadline logic.Micros) {
+	if a.StopAt > deadline && a.heapPosition > 0 {
+		a.StopAt = deadline
+		heap.Fix(&h.attempts, a.heapPosition-1)
 	}
 }
 
-// Ended takes an attempt's end; false: logic has heard of one already.
+// Ended stops tracking an attempt. It returns false if an end of the attempt was already taken, so that each is
+// reported to logic only once.
 func (h *Host) Ended(a *Attempt) bool {
-	if !a.out {
+	if !a.pending {
 		return false
 	}
-	a.out = false
-	if a.place > 0 {
-		heap.Remove(&h.due, a.place-1)
+	a.pending = false
+	if a.heapPosition > 0 {
+		heap.Remove(&h.attempts, a.heapPosition-1)
 	}
 	return true
 }
 
-// TimedOut takes the end of an attempt whose time is up, nil where there is none; the core gives it up and tells.
+// TimedOut stops tracking an attempt whose time-out is due and returns it, or nil if there is none. The caller cancels
+// the attempt and reports its end to logic.
 func (h *Host) TimedOut(now logic.Micros) *Attempt {
-	if len(h.due) == 0 || h.due[0].StopAt > now {
+	if len(h.attempts) == 0 || h.attempts[0].StopAt > now {
 		return nil
 	}
-	a := h.due[0]
+	a := h.attempts[0]
 	h.Ended(a)
 	return a
 }
 
-// Next is when Step must be called at the latest; 0: not before something happens.
+// Next returns the time by which Run must be called; 0 means not before another event is queued.
 func (h *Host) Next() (at logic.Micros) {
 	if len(h.events) > 0 {
 		return 1
 	}
-	if len(h.due) > 0 {
-		at = h.due[0].StopAt
+	if len(h.attempts) > 0 {
+		at = h.attempts[0].StopAt
 	}
-	for _, w := range h.wakes {
-		if at == 0 || w.at < at {
-			at = w.at
+	for _, w := range h.timers {
+		if at == 0 || w.dueAt < at {
+			at = w.dueAt
 		}
 	}
 	return at
 }
 
-// Run lets the host take what it was told. The actions are valid until the next call; its wishes to be woken are
-// seen to and not among them to be carried out.
+// Run runs one step of the host with the events queued so far and the timers that are due. The actions are valid until
+// the next call. [logic.Wake] actions are included, but Run has already set their timers: callers ignore them.
 func (h *Host) Run(now logic.Micros) []logic.Action {
-	keep := h.wakes[:0]
-	for _, w := range h.wakes {
-		if w.at <= now {
+	remaining := h.timers[:0]
+	for _, w := range h.timers {
+		if w.dueAt <= now {
 			h.events = append(h.events, logic.TimerFired{Token: w.token})
 		} else {
-			keep = append(keep, w)
+			remaining = append(remaining, w)
 		}
 	}
-	h.wakes = keep
+	h.timers = remaining
 	clear(h.actions)
 	h.actions = h.Host.Step(now, h.events, h.actions[:0])
 	clear(h.events)
 	h.events = h.events[:0]
 	for _, x := range h.actions {
 		if w, ok := x.(logic.Wake); ok {
-			h.wakes = append(h.wakes, wake{now + w.After, w.Token})
+			h.timers = append(h.timers, timer{now + w.After, w.Token})
 		}
 	}
 	return h.actions
 }
 
-// Held tells how many attempts logic waits for, and how many timers it has set.
-func (h *Host) Held() (attempts, wakes int) { return len(h.due), len(h.wakes) }
+// Held returns the number of attempts that logic waits for and the number of timers that are set.
+func (h *Host) Held() (attempts, wakes int) { return len(h.attempts), len(h.timers) }
 
-// dueHeap holds attempts by the time they are given up.
-type dueHeap []*Attempt
+// deadlineHeap is a heap of attempts, ordered by the time at which they time out.
+type deadlineHeap []*Attempt
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	return cmp.Or(cmp.Compare(a.StopAt, b.StopAt), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Number, b.Number)) < 0
 }
-func (h dueHeap) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i+1, j+1
+	h[i].heapPosition, h[j].heapPosition = i+1, j+1
 }
-func (h *dueHeap) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	a := x.(*Attempt)
 	*h = append(*h, a)
-	a.place = len(*h)
+	a.heapPosition = len(*h)
 }
-func (h *dueHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	a.place = 0
+	a.heapPosition = 0
 	return a
 }
--- a/internal/drive/loop.go
+++ b/internal/drive/loop.go
@@ -8,154 +8,155 @@
 	"appleplank/logic"
 )
 
-// Loop gives a core real time. There is no goroutine of its own: whoever brings something that happened also runs the
-// core, or leaves it to the one who does so at the moment. So all that is ready at a time goes into one step, and what
-// is brought passes on without waiting for another goroutine.
+// Loop runs the steps of a core in real time. It has no goroutine: the caller that posts an input also runs the step,
+// or leaves it to the goroutine that is running one already. All inputs that are queued at that time go into one step,
+// and no input has to wait for another goroutine to be scheduled.
 type Loop[T any] struct {
-	now  func() logic.Micros
-	step func(now logic.Micros, in []T) (next logic.Micros)
-	pace logic.Micros
-
-	mu    sync.Mutex // the core; held for a step, which waits for no peer
-	timer *time.Timer
-	armed logic.Micros // 0: the timer is off
-	ended bool
-	work  []T
-	last  atomic.Int64 // when the last step began
-
-	inMu   sync.Mutex
-	in     []T
-	due    atomic.Bool // the timer has fired
-	paced  atomic.Bool // pacer will fire
-	pacer  *time.Timer
-	Steps  atomic.Uint64
-	Late   atomic.Uint64 // steps that began more than lateFrom after their timer was due
-	LateBy atomic.Int64  // the most a timer has come too late, in Micros
+	now         func() logic.Micros
+	step        func(now logic.Micros, in []T) (next logic.Micros)
+	minInterval logic.Micros
+
+	mu         sync.Mutex // guards the core; held during a step, which never blocks on a peer
+	timer      *time.Timer
+	timerDueAt logic.Micros // 0: the timer is not set
+	closed     bool
+	batch      []T
+	lastStep   atomic.Int64 // start of the last step, in Micros
+
+	queueMu          sync.Mutex
+	queue            []T
+	stepDue          atomic.Bool // the timer has fired, or a step was requested by Kick
+	intervalTimerSet atomic.Bool // intervalTimer is running
+	intervalTimer    *time.Timer
+	Steps            atomic.Uint64
+	Late             atomic.Uint64 // steps that began more than lateThreshold after their timer was due
+	LateBy           atomic.Int64  // maximum delay of a timer, in Micros
 }
 
-// lateFrom, in Micros, is from when a step counts as late: two of the platform's shortest ticks.
-const lateFrom = 2000
-
-// NewLoop makes a loop. Step takes what has come and does what it wants, and tells when it must be called again; 0:
-// not before something comes. Steps that are not asked for by their time begin pace apart at least, so that a crowd
-// costs one core no more than so many.
-func NewLoop[T any](now func() logic.Micros, pace logic.Micros, step func(now logic.Micros, in []T) logic.Micros) *Loop[T] {
-	l := &Loop[T]{now: now, step: step, pace: pace}
-	fire := func() {
-		l.due.Store(true)
-		l.catchUp()
+// lateThreshold is the delay, in Micros, above which a step counts as late: two of the platform's shortest ticks.
+const lateThreshold = 2000
+
+// NewLoop returns a loop around step, which processes the queued inputs and returns the time of its next call; 0 means
+// not before another input is posted. Steps that are caused by inputs only, not by the timer, begin at least
+// minInterval apart, which bounds the processor time that a burst of inputs costs.
+func NewLoop[T any](now func() logic.Micros, minInterval logic.Micros, step func(now logic.Micros, in []T) logic.Micros) *Loop[T] {
+	l := &Loop[T]{now: now, step: step, minInterval: minInterval}
+	onTimer := func() {
+		l.stepDue.Store(true)
+		l.runPending()
 	}
-	l.timer = time.AfterFunc(time.Hour, fire)
+	l.timer = time.AfterFunc(time.Hour, onTimer)
 	l.timer.Stop()
-	l.pacer = time.AfterFunc(time.Hour, func() {
-		l.paced.Store(false)
-		l.catchUp()
+	l.intervalTimer = time.AfterFunc(time.Hour, func() {
+		l.intervalTimerSet.Store(false)
+		l.runPending()
 	})
-	l.pacer.Stop()
+	l.intervalTimer.Stop()
 	return l
 }
 
-// Post brings something that has happened.
+// Post queues an input and runs a step if no other goroutine is running one and minInterval has passed.
 func (l *Loop[T]) Post(in T) {
-	l.inMu.Lock()
-	l.in = append(l.in, in)
-	l.inMu.Unlock()
-	l.catchUp()
+	l.queueMu.Lock()
+	l.queue = append(l.queue, in)
+	l.queueMu.Unlock()
+	l.runPending()
 }
 
-// With runs f while no step runs.
+// With calls f while no step runs.
 func (l *Loop[T]) With(f func(now logic.Micros)) {
 	l.mu.Lock()
 	f(l.now())
 	l.mu.Unlock()
-	l.catchUp()
+	l.runPending()
 }
 
-// Kick lets a step run even if nothing has come.
+// Kick runs a step even if no input is queued.
 func (l *Loop[T]) Kick() {
-	l.due.Store(true)
-	l.catchUp()
+	l.stepDue.Store(true)
+	l.runPending()
 }
 
-// Close stops the timers. What is brought or fires after it still runs a step, but none is woken for.
+// Close stops the timers. Inputs posted later, and timers that are firing already, still run a step, but steps no
+// longer set the timer.
 func (l *Loop[T]) Close() {
 	l.mu.Lock()
-	l.ended = true
+	l.closed = true
 	l.timer.Stop()
-	l.pacer.Stop()
+	l.intervalTimer.Stop()
 	l.mu.Unlock()
 }
 
-// catchUp runs the core while there is a reason and nobody else runs it. Whoever has held the lock calls it after
-// letting go, so nothing stays behind.
-func (l *Loop[T]) catchUp() {
-	for l.ready() && l.mu.TryLock() {
-		l.run()
+// runPending runs steps as long as one is needed and no other goroutine holds the lock. Every holder of the lock calls
+// it after unlocking, so no input is left in the queue.
+func (l *Loop[T]) runPending() {
+	for l.needsStep() && l.mu.TryLock() {
+		l.runSteps()
 		l.mu.Unlock()
 	}
 }
 
-func (l *Loop[T]) ready() bool {
-	if l.due.Load() {
+func (l *Loop[T]) needsStep() bool {
+	if l.stepDue.Load() {
 		return true
 	}
-	l.inMu.Lock()
-	some := len(l.in) > 0
-	l.inMu.Unlock()
-	if !some {
+	l.queueMu.Lock()
+	hasInput := len(l.queue) > 0
+	l.queueMu.Unlock()
+	if !hasInput {
 		return false
 	}
-	wait := l.pace - (l.now() - logic.Micros(l.last.Load()))
-	if l.pace == 0 || wait <= 0 {
+	wait := l.minInterval - (l.now() - logic.Micros(l.lastStep.Load()))
+	if l.minInterval == 0 || wait <= 0 {
 		return true
 	}
-	if l.paced.CompareAndSwap(false, true) {
-		l.pacer.Reset(time.Duration(wait) * time.Microsecond)
+	if l.intervalTimerSet.CompareAndSwap(false, true) {
+		l.intervalTimer.Reset(time.Duration(wait) * time.Microsecond)
 	}
 	return false
 }
 
-// run steps until nothing is left to do now.
-func (l *Loop[T]) run() {
+// runSteps runs steps until none is needed at the present time. The lock is held.
+func (l *Loop[T]) runSteps() {
 	for {
 		now := l.now()
-		if l.due.Swap(false) && l.armed > 0 {
-			late := int64(now - l.armed)
-			if late > lateFrom {
+		if l.stepDue.Swap(false) && l.timerDueAt > 0 {
+			late := int64(now - l.timerDueAt)
+			if late > lateThreshold {
 				l.Late.Add(1)
 			}
 			if late > l.LateBy.Load() {
 				l.LateBy.Store(late)
 			}
-			l.armed = 0
+			l.timerDueAt = 0
 		}
-		l.inMu.Lock()
-		l.in, l.work = l.work[:0], l.in
-		l.inMu.Unlock()
-		l.last.Store(int64(now))
+		l.queueMu.Lock()
+		l.queue, l.batch = l.batch[:0], l.queue
+		l.queueMu.Unlock()
+		l.lastStep.Store(int64(now))
 		l.Steps.Add(1)
-		next := l.step(now, l.work)
-		clear(l.work)
+		next := l.step(now, l.batch)
+		clear(l.batch)
 		if next > 0 && next <= l.now() {
 			continue
 		}
-		l.arm(next)
-		if l.pace > 0 || !l.more() {
+		l.setTimer(next)
+		if l.minInterval > 0 || !l.hasInput() {
 			return
 		}
 	}
 }
 
-func (l *Loop[T]) more() bool {
-	l.inMu.Lock()
-	defer l.inMu.Unlock()
-	return len(l.in) > 0
+func (l *Loop[T]) hasInput() bool {
+	l.queueMu.Lock()
+	defer l.queueMu.Unlock()
+	return len(l.queue) > 0
 }
 
-func (l *Loop[T]) arm(next logic.Micros) {
-	if l.ended || next == 0 || l.armed != 0 && l.armed <= next {
+func (l *Loop[T]) setTimer(next logic.Micros) {
+	if l.closed || next == 0 || l.timerDueAt != 0 && l.timerDueAt <= next {
 		return
 	}
-	l.armed = next
+	l.timerDueAt = next
 	l.timer.Reset(time.Duration(next-l.now()) * time.Microsecond)
 }
--- a/internal/drive/loop_test.go
+++ b/internal/drive/loop_test.go
@@ -9,19 +9,19 @@
 	"appleplank/logic"
 )
 
-func clock() func() logic.Micros {
-	begun := time.Now()
-	return func() logic.Micros { return 1 + logic.Micros(time.Since(begun).Microseconds()) }
+func newClock() func() logic.Micros {
+	started := time.Now()
+	return func() logic.Micros { return 1 + logic.Micros(time.Since(started).Microseconds()) }
 }
 
-// Whatever is brought by many at once is taken once, in steps that never overlap.
+// Inputs posted by several goroutines at once are each processed once, in steps that never overlap.
 func TestLoopTakesAll(t *testing.T) {
-	for _, pace := range []logic.Micros{0, 2000} {
+	for _, minInterval := range []logic.Micros{0, 2000} {
 		var running atomic.Int32
 		sum := 0
-		l := NewLoop(clock(), pace, func(_ logic.Micros, in []int) logic.Micros {
+		l := NewLoop(newClock(), minInterval, func(_ logic.Micros, in []int) logic.Micros {
 			if running.Add(1) != 1 {
-				t.Error("two steps at once")
+				t.Error("two steps ran concurrently")
 			}
 			for _, x := range in {
 				sum += x
@@ -29,84 +29,84 @@
 			running.Add(-1)
 			return 0
 		})
-		var wait sync.WaitGroup
+		var posters sync.WaitGroup
 		for range 8 {
-			wait.Go(func() {
+			posters.Go(func() {
 				for range 5000 {
 					l.Post(1)
 				}
 			})
 		}
-		wait.Wait()
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		posters.Wait()
+		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			got := 0
 			if l.With(func(logic.Micros) { got = sum }); got == 40000 {
 				break
 			}
 		}
 		if sum != 40000 {
-			t.Fatalf("pace %d: %d taken", pace, sum)
+			t.Fatalf("minimum interval %d: %d of 40000 inputs processed", minInterval, sum)
 		}
-		if steps := l.Steps.Load(); pace > 0 && steps > 2000 {
-			t.Errorf("%d steps with a pace", steps)
+		if steps := l.Steps.Load(); minInterval > 0 && steps > 2000 {
+			t.Errorf("%d steps despite a minimum interval", steps)
 		}
 		l.Close()
 	}
 }
 
-// A loop that was closed while its timer fired spun for ever, holding the lock: found by the gateway's tests.
+// Guards against a loop that spins for ever while holding the lock, because it is closed while its timer fires.
 func TestClosedLoopDoesNotSpin(t *testing.T) {
-	l := NewLoop(clock(), 0, func(logic.Micros, []int) logic.Micros { return 0 })
+	l := NewLoop(newClock(), 0, func(logic.Micros, []int) logic.Micros { return 0 })
 	l.Close()
 	done := make(chan struct{})
 	go func() { l.Kick(); l.Post(1); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it spins")
+		t.Fatal("the loop still runs after 5 s")
 	}
 }
 
 func TestLoopWakes(t *testing.T) {
 	woken := make(chan struct{})
-	now, at := clock(), logic.Micros(0)
+	now, dueAt := newClock(), logic.Micros(0)
 	l := NewLoop(now, 0, func(now logic.Micros, in []int) logic.Micros {
 		if len(in) > 0 {
-			at = now + 20_000
-			return at
+			dueAt = now + 20_000
+			return dueAt
 		}
-		if at > 0 && now >= at {
-			at = 0
+		if dueAt > 0 && now >= dueAt {
+			dueAt = 0
 			close(woken)
 		}
-		return at
+		return dueAt
 	})
 	defer l.Close()
 	l.Post(1)
 	select {
 	case <-woken:
 	case <-time.After(10 * time.Second):
-		t.Fatal("never woken")
+		t.Fatal("the timer did not run a step")
 	}
 }
 
 func TestLoopCountsLateSteps(t *testing.T) {
-	now, at := clock(), logic.Micros(0)
+	now, dueAt := newClock(), logic.Micros(0)
 	l := NewLoop(now, 0, func(now logic.Micros, in []int) logic.Micros {
 		if len(in) > 0 {
-			at = now + 5_000
+			dueAt = now + 5_000
 		}
-		if now >= at {
+		if now >= dueAt {
 			return 0
 		}
-		return at
+		return dueAt
 	})
 	defer l.Close()
 	l.Post(1)
-	l.With(func(logic.Micros) { time.Sleep(40 * time.Millisecond) }) // somebody holds the core up
-	for end := time.Now().Add(10 * time.Second); l.Late.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	l.With(func(logic.Micros) { time.Sleep(40 * time.Millisecond) }) // delays the step that is due
+	for deadline := time.Now().Add(10 * time.Second); l.Late.Load() == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
 	if n, by := l.Late.Load(), l.LateBy.Load(); n == 0 || by < 20_000 {
-		t.Errorf("%d steps late, by %d us at most", n, by)
+		t.Errorf("%d steps late, by at most %d us; want at least one, by 20 ms or more", n, by)
 	}
 }
