--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -1,6 +1,6 @@
-// Package core carries the platform's requests from their front to the targets and the answers home. [Core] is a
-// plain struct without clock, socket or goroutine; [Shell] gives it both. Every send, repeat, refusal and wait comes
-// from package logic, what targets there are from package members.
+// Package core passes the platform's requests from the front to the targets and the answers back. [Core] is a plain
+// struct without clock, sockets or goroutines; [Shell] runs it in real time with a front and a back. Package logic
+// decides every send, retry, refusal and wait; package members decides which targets there are.
 package core
 
 import (
@@ -13,28 +13,28 @@
 	"appleplank/members"
 )
 
-// Tally counts what the core has done, and what it holds now.
+// Tally counts what the core has done since its start and what it holds at present.
 type Tally struct {
 	Taken, Gone uint64
 	Answers     [3]uint64 // by verdict
 	Sends       uint64
 	Outcomes    [8]uint64
-	LateEnds    uint64 // ends of attempts that logic had been told of as timed out
-	Held        int    // requests without an answer
-	Entries     int    // requests not forgotten
-	Out         int    // attempts the back has not ended
+	LateEnds    uint64 // ends of attempts that had been reported to logic as timed out
+	Held        int    // requests that are not answered yet
+	Entries     int    // requests with an entry, answered ones with attempts in flight included
+	Out         int    // attempts whose end the back has not reported
 }
 
-// actionKind says what an action asks for.
+// actionKind selects what the shell does for an action.
 type actionKind uint8
 
 const (
-	start actionKind = iota
-	drop
-	recall
-	answer
-	done
-	note
+	actionStart actionKind = iota
+	actionDrop
+	actionRecall
+	actionAnswer
+	actionDone
+	actionLog
 )
 
 type action struct {
@@ -45,33 +45,34 @@
 	text    string
 }
 
-// Core holds a request until it is answered, its entry until its last attempt has ended: what it holds is bounded by
-// what its front hands over and by the deadlines.
+// Core is the state of the initiator's requests. It holds a request until it is answered or its client has left, and
+// the request's entry until logic waits for none of its attempts any more. Memory is therefore bounded by the number of
+// requests that the front submits and by their deadlines.
 type Core struct {
-	host    drive.Host
-	entries map[logic.RequestID]*entry
-	lastID  logic.RequestID
-	out     []action
-	before  []action
-	attempt []*Attempt // pools
-	entry   []*entry
-	by      logic.Micros // all must be answered by then; 0: it does not end
-	tally   Tally
-	trace   *trace.Writer // nil: off
+	host             drive.Host
+	entries          map[logic.RequestID]*entry
+	lastID           logic.RequestID
+	actions          []action
+	previousActions  []action
+	freeAttempts     []*Attempt // released attempts, for reuse
+	freeEntries      []*entry
+	shutdownDeadline logic.Micros // every request must be answered by then; 0: no shutdown has begun
+	tally            Tally
+	trace            *trace.Writer // nil: tracing is off
 }
 
-// entry is what logic calls a request.
+// entry is a request as logic knows it. It may outlive the front's [Request].
 type entry struct {
-	id       logic.RequestID
-	r        *Request // nil: it is over
-	volume   logic.VolumeID
-	units    float64
-	dropDead logic.Micros
-	out      []*Attempt // logic waits for their ends
-	sends    int
+	id          logic.RequestID
+	request     *Request // nil: answered, or its client has left
+	volume      logic.VolumeID
+	units       float64
+	deadline    logic.Micros
+	outstanding []*Attempt // attempts whose end is not reported to logic yet
+	sendCount   int
 }
 
-// New makes a core.
+// New returns a core with the given settings. The seed determines the random decisions of logic.
 func New(set logic.Settings, seed uint64) (*Core, error) {
 	host, err := logic.New(set, seed)
 	if err != nil {
@@ -80,127 +81,128 @@
 	return &Core{host: drive.Host{Host: host}, entries: map[logic.RequestID]*entry{}}, nil
 }
 
-// Tally tells the counts so far.
+// Tally returns the counts so far.
 func (c *Core) Tally() Tally {
 	t := c.tally
 	t.Entries = len(c.entries)
 	return t
 }
 
-// Take is a request from its front.
+// Take accepts a request from its front.
 func (c *Core) Take(now logic.Micros, r *Request) {
 	c.lastID++
 	e := c.newEntry()
-	*e = entry{id: c.lastID, r: r, volume: r.Volume, units: r.Units, dropDead: now + r.Left, out: e.out[:0]}
-	if c.by > 0 {
-		e.dropDead = min(e.dropDead, c.by)
+	*e = entry{id: c.lastID, request: r, volume: r.Volume, units: r.Units, deadline: now + r.Left, outstanding: e.outstanding[:0]}
+	if c.shutdownDeadline > 0 {
+		e.deadline = min(e.deadline, c.shutdownDeadline)
 	}
 	r.entry = e
 	c.entries[e.id] = e
 	c.tally.Taken++
 	c.tally.Held++
 	if c.trace != nil {
-		c.note(now, "taken", e.id, 0, 0, fmt.Sprintf("%s:%x:%g:%g", r.ID, r.Volume, r.Units, r.Attached), r.Left, logic.NoLoad)
+		c.writeTrace(now, "taken", e.id, 0, 0, fmt.Sprintf("%s:%x:%g:%g", r.ID, r.Volume, r.Units, r.Attached), r.Left, logic.NoLoad)
 	}
 	c.host.Tell(logic.Arrival{
 		Request: e.id, Class: r.Class, Cell: r.Cell, Key: r.Block, Volume: r.Volume, Plan: r.Plan,
-		Attached: r.Attached, Units: r.Units, DropDead: e.dropDead,
+		Attached: r.Attached, Units: r.Units, DropDead: e.deadline,
 	})
 }
 
-// Gone says that the client of a request has left; the request is its front's again. It tells whether it was not
-// over yet.
+// Gone ends a request whose client has left and returns it to its front. It returns false if the request was already
+// answered.
 func (c *Core) Gone(now logic.Micros, r *Request) bool {
 	e := r.entry
-	if e == nil || e.r != r {
+	if e == nil || e.request != r {
 		return false
 	}
 	c.tally.Gone++
-	c.note(now, "gone", e.id, 0, 0, "-", 0, logic.NoLoad)
+	c.writeTrace(now, "gone", e.id, 0, 0, "-", 0, logic.NoLoad)
 	c.host.Tell(logic.ClientGone{Request: e.id})
-	c.over(e)
+	c.endRequest(e)
 	return true
 }
 
-// End says that the process ends: all that is held or comes must be answered by the given time. Found on the short
-// days: requests whose clients would wait for 29 s were held until the process was gone.
-func (c *Core) End(by logic.Micros) {
-	c.by = by
+// End begins the shutdown: all requests, held ones and new ones, must be answered by the deadline. Without this bound,
+// requests whose clients would wait for 29 s were still held when the process exited.
+func (c *Core) End(deadline logic.Micros) {
+	c.shutdownDeadline = deadline
 	for _, e := range c.entries {
-		e.dropDead = min(e.dropDead, by)
-		for _, a := range e.out {
-			c.host.Bound(&a.Attempt, by)
+		e.deadline = min(e.deadline, deadline)
+		for _, a := range e.outstanding {
+			c.host.Bound(&a.Attempt, deadline)
 		}
 	}
-	c.host.Tell(logic.Ending{By: by})
+	c.host.Tell(logic.Ending{By: deadline})
 }
 
-// over ends a request for its front. Nothing more is sent for it: attempts that are out and have not left whole, as
-// their connection is still coming up, are called back. Found on the short days: such left 0.2 s after their client.
-func (c *Core) over(e *entry) {
-	for _, a := range e.out {
-		c.out = append(c.out, action{kind: recall, attempt: a})
+// endRequest returns a request to its front. Nothing more is sent for it: attempts in flight that are not sent
+// completely, because their connection is still being set up, are recalled. Without the recall, such attempts were sent
+// 0.2 s after their client had left.
+func (c *Core) endRequest(e *entry) {
+	for _, a := range e.outstanding {
+		c.actions = append(c.actions, action{kind: actionRecall, attempt: a})
 	}
-	e.r.entry = nil
-	e.r = nil
+	e.request.entry = nil
+	e.request = nil
 	c.tally.Held--
-	c.forget(e)
+	c.removeIfFinished(e)
 }
 
-func (c *Core) forget(e *entry) {
-	if e.r == nil && len(e.out) == 0 && c.entries[e.id] == e {
+func (c *Core) removeIfFinished(e *entry) {
+	if e.request == nil && len(e.outstanding) == 0 && c.entries[e.id] == e {
 		delete(c.entries, e.id)
-		c.entry = append(c.entry, e)
+		c.freeEntries = append(c.freeEntries, e)
 	}
 }
 
-// Ended is the end of an attempt, as the back tells it.
+// Ended takes the end of an attempt from the back. If the attempt has timed out before, logic does not see its result.
 func (c *Core) Ended(now logic.Micros, a *Attempt, res Result) {
 	c.tally.Out--
 	if c.host.Ended(&a.Attempt) {
-		c.tell(now, a, res)
+		c.attemptEnded(now, a, res)
 	} else {
 		c.tally.LateEnds++
 	}
-	c.out = append(c.out, action{kind: done, attempt: a})
+	c.actions = append(c.actions, action{kind: actionDone, attempt: a})
 }
 
-func (c *Core) tell(now logic.Micros, a *Attempt, res Result) {
+func (c *Core) attemptEnded(now logic.Micros, a *Attempt, res Result) {
 	e := a.e
-	e.out = slices.DeleteFunc(e.out, func(x *Attempt) bool { return x == a })
+	e.outstanding = slices.DeleteFunc(e.outstanding, func(x *Attempt) bool { return x == a })
 	c.tally.Outcomes[res.Outcome]++
-	c.note(now, "end", e.id, a.Number, a.Node, trace.Words[res.Outcome], now-a.Sent, res.Load)
+	c.writeTrace(now, "end", e.id, a.Number, a.Node, trace.Words[res.Outcome], now-a.Sent, res.Load)
 	c.host.Tell(logic.AttemptEnded{
 		Request: e.id, Attempt: a.Number, Node: a.Node, Outcome: res.Outcome, Took: now - a.Sent,
-		Settled: res.Outcome == logic.OK || e.r == nil, Used: res.Used, Elsewhere: res.Elsewhere, Load: res.Load,
+		Settled: res.Outcome == logic.OK || e.request == nil, Used: res.Used, Elsewhere: res.Elsewhere, Load: res.Load,
 	})
-	if res.Outcome == logic.OK && e.r != nil {
-		c.finish(now, e, Answer{Verdict: Served, Body: res.Body, Kept: res.Kept})
+	if res.Outcome == logic.OK && e.request != nil {
+		c.answerRequest(now, e, Answer{Verdict: Served, Body: res.Body, Kept: res.Kept})
 	}
-	c.forget(e)
+	c.removeIfFinished(e)
 }
 
-func (c *Core) finish(now logic.Micros, e *entry, a Answer) {
+func (c *Core) answerRequest(now logic.Micros, e *entry, a Answer) {
 	c.tally.Answers[a.Verdict]++
 	if c.trace != nil {
-		c.note(now, "answer", e.id, 0, 0, reason(a), 0, logic.NoLoad)
+		c.writeTrace(now, "answer", e.id, 0, 0, verdictText(a), 0, logic.NoLoad)
 	}
-	c.out = append(c.out, action{kind: answer, request: e.r, answer: a})
-	c.over(e)
+	c.actions = append(c.actions, action{kind: actionAnswer, request: e.request, answer: a})
+	c.endRequest(e)
 }
 
-var verdicts = [...]string{Served: "served", Refused: "refused", Failed: "failed"}
+var verdictNames = [...]string{Served: "served", Refused: "refused", Failed: "failed"}
 
-// reason is an answer's verdict as it stands in a trace, and why a request was refused where that is known.
-func reason(a Answer) string {
+// verdictText returns the verdict of an answer as traces show it, with the reason of a refusal where that is known.
+func verdictText(a Answer) string {
 	if a.Limited {
-		return verdicts[a.Verdict] + ":limit"
+		return verdictNames[a.Verdict] + ":limit"
 	}
-	return verdicts[a.Verdict]
+	return verdictNames[a.Verdict]
 }
 
-// slice is what is left of a volume's limit as it stands in a trace.
-func (c *Core) slice(volume logic.VolumeID) string {
+// limitShareText returns what is left of this host's share of a volume's limit, as traces show it.
+func (c *Core) limitShareText(volume logic.VolumeID) string {
 	s, limited := c.host.Slice(volume)
 	if !limited {
 		return "-"
@@ -208,97 +210,97 @@
 	return fmt.Sprintf("limit:%g:%.3f:%.3f", s.Hosts, s.Store, s.Pending)
 }
 
-// note writes down what the core believes.
-func (c *Core) note(now logic.Micros, what string, id logic.RequestID, number int, node logic.NodeID, outcome string, took logic.Micros, load logic.Load) {
+// writeTrace writes an event, as the core sees it, to the trace.
+func (c *Core) writeTrace(now logic.Micros, what string, id logic.RequestID, number int, node logic.NodeID, outcome string, took logic.Micros, load logic.Load) {
 	if c.trace != nil {
 		c.trace.Put(trace.Line{At: now, Side: "core", What: what, Request: id, Number: number, Node: node, Outcome: outcome, Took: took, Load: load.Waits})
 	}
 }
 
-// Room says how many requests may be held at once from now on.
+// Room sets the number of requests that may be held at once.
 func (c *Core) Room(requests int) { c.host.Tell(logic.RoomChanged{Room: requests}) }
 
-// Nodes is news of the targets.
+// Nodes passes a list of targets, or changes to it, to logic.
 func (c *Core) Nodes(kind logic.ListKind, list []logic.Node) {
 	c.host.Tell(logic.NodeList{Kind: kind, Nodes: list})
 }
 
-// Next is when Step must be called at the latest; 0: not before something happens.
+// Next returns the time by which step must be called; 0 means not before another input arrives.
 func (c *Core) Next() logic.Micros {
-	if len(c.out) > 0 {
+	if len(c.actions) > 0 {
 		return 1
 	}
 	return c.host.Next()
 }
 
-// step lets all that has happened by now take its effect. The actions are valid until the next call.
+// step processes the inputs and time-outs up to now. The returned actions are valid until the next call.
 func (c *Core) step(now logic.Micros) []action {
 	for a := c.host.TimedOut(now); a != nil; a = c.host.TimedOut(now) {
 		x := a.Owner.(*Attempt)
-		c.out = append(c.out, action{kind: drop, attempt: x})
-		c.tell(now, x, Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
+		c.actions = append(c.actions, action{kind: actionDrop, attempt: x})
+		c.attemptEnded(now, x, Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
 	}
 	for _, x := range c.host.Run(now) {
-		c.act(now, x)
+		c.perform(now, x)
 	}
-	out := c.out
-	clear(c.before)
-	c.out, c.before = c.before[:0], out
-	return out
+	actions := c.actions
+	clear(c.previousActions)
+	c.actions, c.previousActions = c.previousActions[:0], actions
+	return actions
 }
 
-func (c *Core) act(now logic.Micros, x logic.Action) {
-	switch x := x.(type) {
-	case logic.Wake: // seen to by drive
+func (c *Core) perform(now logic.Micros, requested logic.Action) {
+	switch x := requested.(type) {
+	case logic.Wake: // its timer is set by package drive
 	case logic.Send:
 		c.send(now, x)
 	case logic.Deny:
-		if e := c.entries[x.Request]; e != nil && e.r != nil {
+		if e := c.entries[x.Request]; e != nil && e.request != nil {
 			limited := c.host.Limited(e.volume, e.units)
-			c.finish(now, e, Answer{Verdict: Refused, CoolDown: x.CoolDown, Limited: limited})
+			c.answerRequest(now, e, Answer{Verdict: Refused, CoolDown: x.CoolDown, Limited: limited})
 		}
 	case logic.Surrender:
-		if e := c.entries[x.Request]; e != nil && e.r != nil {
-			c.finish(now, e, Answer{Verdict: Failed})
+		if e := c.entries[x.Request]; e != nil && e.request != nil {
+			c.answerRequest(now, e, Answer{Verdict: Failed})
 		}
 	case logic.Abort:
 		if e := c.entries[x.Request]; e != nil {
-			c.out = append(c.out, action{kind: note, text: "logic calls an attempt off, which this core leaves to time-outs"})
+			c.actions = append(c.actions, action{kind: actionLog, text: "abort of an attempt ignored: attempts are cancelled by time-out only"})
 		}
 	case logic.Note:
-		c.out = append(c.out, action{kind: note, text: x.Text})
+		c.actions = append(c.actions, action{kind: actionLog, text: x.Text})
 	default:
-		c.out = append(c.out, action{kind: note, text: fmt.Sprintf("logic asks for %T, which the platform has no form for", x)})
+		c.actions = append(c.actions, action{kind: actionLog, text: fmt.Sprintf("action %T of logic ignored: the platform does not support it", x)})
 	}
 }
 
 func (c *Core) send(now logic.Micros, s logic.Send) {
 	e := c.entries[s.Request]
-	if e == nil || e.r == nil {
+	if e == nil || e.request == nil {
 		return
 	}
 	a := c.newAttempt()
 	a.e = e
-	a.Request, a.Number, a.Node, a.Sent, a.StopAt = e.id, e.sends, s.Node, now, e.dropDead
+	a.Request, a.Number, a.Node, a.Sent, a.StopAt = e.id, e.sendCount, s.Node, now, e.deadline
 	if s.StopAt > 0 {
 		a.StopAt = min(a.StopAt, s.StopAt)
 	}
 	a.By = s.By
-	e.sends++
-	e.out = append(e.out, a)
+	e.sendCount++
+	e.outstanding = append(e.outstanding, a)
 	c.tally.Sends++
 	c.tally.Out++
 	if c.trace != nil {
-		c.note(now, "send", e.id, a.Number, a.Node, c.slice(e.volume), 0, logic.NoLoad)
+		c.writeTrace(now, "send", e.id, a.Number, a.Node, c.limitShareText(e.volume), 0, logic.NoLoad)
 	}
 	c.host.Sent(&a.Attempt)
-	c.out = append(c.out, action{kind: start, attempt: a, request: e.r})
+	c.actions = append(c.actions, action{kind: actionStart, attempt: a, request: e.request})
 }
 
 func (c *Core) newAttempt() *Attempt {
-	if n := len(c.attempt); n > 0 {
-		a := c.attempt[n-1]
-		c.attempt = c.attempt[:n-1]
+	if n := len(c.freeAttempts); n > 0 {
+		a := c.freeAttempts[n-1]
+		c.freeAttempts = c.freeAttempts[:n-1]
 		return a
 	}
 	a := &Attempt{}
@@ -307,24 +309,24 @@
 }
 
 func (c *Core) newEntry() *entry {
-	if n := len(c.entry); n > 0 {
-		e := c.entry[n-1]
-		c.entry = c.entry[:n-1]
+	if n := len(c.freeEntries); n > 0 {
+		e := c.freeEntries[n-1]
+		c.freeEntries = c.freeEntries[:n-1]
 		return e
 	}
 	return new(entry)
 }
 
-// recycle takes an attempt back that nobody holds any more.
+// recycle puts an attempt that is no longer referenced back into the pool.
 func (c *Core) recycle(a *Attempt) {
 	a.e, a.Conn = nil, nil
-	c.attempt = append(c.attempt, a)
+	c.freeAttempts = append(c.freeAttempts, a)
 }
 
-// listKind is how logic takes a list of changes: what members gives names every change, also those of a whole list.
+// listKind marks all lists as changes: package members reports a complete list, too, as the changes it makes.
 const listKind = logic.ListDelta
 
-// Places gives the targets that are in use or drain.
+// Places returns where to reach the targets that are ready or draining.
 func Places(list []members.Target) (out []Place) {
 	for _, t := range list {
 		if t.State != logic.Gone {
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -20,48 +20,48 @@
 	}
 }
 
-// recorder is a front that counts answers.
+// recorder is a front that counts the answers it receives.
 type recorder struct {
-	t       *testing.T
-	answers int
-	verdict [3]int
-	body    string
+	t        *testing.T
+	answers  int
+	verdicts [3]int
+	body     string
 }
 
 func (f *recorder) Answer(_ logic.Micros, r *Request, a Answer) {
 	f.answers++
-	f.verdict[a.Verdict]++
+	f.verdicts[a.Verdict]++
 	f.body = string(a.Body)
 }
 
-// carried is an attempt in the back's hands.
-type carried struct {
-	r        *Request
-	left     bool // its last byte
+// sentAttempt is an attempt that the back has not ended.
+type sentAttempt struct {
+	request  *Request
+	sent     bool // completely, up to its last byte
 	recalled bool
 }
 
-// run carries the actions of a step out, as the shell does, with attempts into out.
-func run(c *Core, now logic.Micros, out map[*Attempt]*carried) {
+// runSteps runs steps and performs their actions as the shell does; attempts that are started go into outstanding.
+func runSteps(c *Core, now logic.Micros, outstanding map[*Attempt]*sentAttempt) {
 	for {
 		for _, a := range c.step(now) {
 			switch a.kind {
-			case start:
-				if out[a.attempt] != nil {
-					panic("an attempt that is out was started")
+			case actionStart:
+				if outstanding[a.attempt] != nil {
+					panic("an attempt in flight was started again")
 				}
-				out[a.attempt] = &carried{r: a.request}
-			case drop, recall:
-				x := out[a.attempt]
-				if x == nil && a.kind == drop {
-					panic("an attempt that is not out was dropped")
+				outstanding[a.attempt] = &sentAttempt{request: a.request}
+			case actionDrop, actionRecall:
+				x := outstanding[a.attempt]
+				if x == nil && a.kind == actionDrop {
+					panic("an attempt that is not in flight was dropped")
 				}
 				if x != nil {
-					x.recalled = x.recalled || !x.left
+					x.recalled = x.recalled || !x.sent
 				}
-			case answer:
+			case actionAnswer:
 				a.request.Front.Answer(now, a.request, a.answer)
-			case done:
+			case actionDone:
 				c.recycle(a.attempt)
 			}
 		}
@@ -71,8 +71,8 @@
 	}
 }
 
-// Every request that is taken is answered once, in time, whatever becomes of its attempts and its client, in
-// whatever order; and in the end nothing is held.
+// Plays random arrivals, outcomes, departures of clients and changes of targets: every request is answered exactly once
+// and in time unless its client leaves, nothing is sent for a finished request, and nothing is held at the end.
 func TestEachRequestEndsOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -83,21 +83,21 @@
 		now := logic.Micros(1_000_000_000)
 		nodes := []logic.Node{{ID: 1, Cell: 0, State: logic.Ready}, {ID: 2, Cell: 1, State: logic.Ready}, {ID: 3, Cell: 1, State: logic.Ready}}
 		c.Nodes(listKind, nodes)
-		type one struct {
+		type clientRequest struct {
 			Request
 			recorder
-			by   logic.Micros
-			gone bool
+			deadline logic.Micros
+			gone     bool
 		}
-		var all, open []*one
-		out, over := map[*Attempt]*carried{}, map[*Request]bool{}
+		var all, open []*clientRequest
+		outstanding, finished := map[*Attempt]*sentAttempt{}, map[*Request]bool{}
 		for range 3000 {
 			now += logic.Micros(rng.Int64N(3000))
 			if rng.IntN(3) == 0 && len(all) < 700 {
-				x := &one{recorder: recorder{t: t}}
+				x := &clientRequest{recorder: recorder{t: t}}
 				x.Request = Request{Class: rng.IntN(3), Plan: rng.IntN(2), Cell: rng.IntN(3) - 1, Block: rng.Uint64N(50), Volume: logic.VolumeID(rng.Uint64N(20)),
 					Attached: 1, Units: float64(1 + rng.IntN(6)), Left: logic.Micros(1 + rng.Int64N(1_500_000)), Front: &x.recorder}
-				x.by = now + x.Left
+				x.deadline = now + x.Left
 				all, open = append(all, x), append(open, x)
 				c.Take(now, &x.Request)
 			}
@@ -107,14 +107,14 @@
 					x.gone = true
 				}
 			}
-			for a, x := range out {
-				if !x.left && !x.recalled && rng.IntN(4) == 0 {
-					if x.left = true; over[x.r] {
-						t.Fatalf("seed %d: an attempt leaves when its request is over", seed)
+			for a, x := range outstanding {
+				if !x.sent && !x.recalled && rng.IntN(4) == 0 {
+					if x.sent = true; finished[x.request] {
+						t.Fatalf("seed %d: an attempt was sent after its request had finished", seed)
 					}
 				}
 				if rng.IntN(8) == 0 {
-					delete(out, a)
+					delete(outstanding, a)
 					c.Ended(now, a, Result{Outcome: logic.Outcome(rng.IntN(8)), Load: logic.NoLoad})
 				}
 				if rng.IntN(3) == 0 {
@@ -129,102 +129,102 @@
 				n.State = logic.NodeState(rng.IntN(3))
 				c.Nodes(listKind, []logic.Node{n})
 			}
-			run(c, now, out)
-			keep := open[:0]
+			runSteps(c, now, outstanding)
+			stillOpen := open[:0]
 			for _, x := range open {
 				if x.answers > 0 || x.gone {
-					over[&x.Request] = true
+					finished[&x.Request] = true
 					continue
 				}
-				keep = append(keep, x)
-				if now > x.by+20_000 {
-					t.Fatalf("seed %d: no answer %d us after its time", seed, now-x.by)
+				stillOpen = append(stillOpen, x)
+				if now > x.deadline+20_000 {
+					t.Fatalf("seed %d: no answer %d us after the deadline", seed, now-x.deadline)
 				}
 			}
-			open = keep
+			open = stillOpen
 		}
-		for range 1000 { // every attempt's end comes at last
+		for range 1000 { // end all attempts that are in flight
 			now += 10_000
-			for a := range out {
-				delete(out, a)
+			for a := range outstanding {
+				delete(outstanding, a)
 				c.Ended(now, a, Result{Outcome: logic.Reset, Load: logic.NoLoad})
 			}
-			run(c, now, out)
+			runSteps(c, now, outstanding)
 		}
 		for i, x := range all {
 			if want := 1; x.answers != want && !x.gone || x.gone && x.answers != 0 {
 				t.Fatalf("seed %d, request %d: %d answers, gone %v", seed, i, x.answers, x.gone)
 			}
 		}
-		ta := c.Tally()
+		tally := c.Tally()
 		attempts, _ := c.host.Held()
-		if ta.Held != 0 || ta.Entries != 0 || ta.Out != 0 || attempts != 0 {
-			t.Fatalf("seed %d: held at the end: %+v, %d attempts", seed, ta, attempts)
+		if tally.Held != 0 || tally.Entries != 0 || tally.Out != 0 || attempts != 0 {
+			t.Fatalf("seed %d: held at the end: %+v, %d attempts", seed, tally, attempts)
 		}
-		if ta.Answers[Served] == 0 || ta.Answers[Refused] == 0 {
-			t.Fatalf("seed %d: the day was no test: %+v", seed, ta)
+		if tally.Answers[Served] == 0 || tally.Answers[Refused] == 0 {
+			t.Fatalf("seed %d: no request was served, or none refused: %+v", seed, tally)
 		}
 	}
 }
 
-// Told that the process ends, it answers all that is held, and what still comes, by then.
+// After End, held requests and new ones are answered by the deadline.
 func TestEndBoundsAll(t *testing.T) {
 	c, _ := New(settings(), 1)
 	now := logic.Micros(1_000_000_000)
 	c.Nodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
 	fronts := make([]*recorder, 12)
-	out := map[*Attempt]*carried{}
-	ask := func(i int) {
+	outstanding := map[*Attempt]*sentAttempt{}
+	submit := func(i int) {
 		fronts[i] = &recorder{t: t}
 		c.Take(now, &Request{Class: 1, Plan: 1, Attached: 1, Units: 1, Left: 25_000_000, Volume: logic.VolumeID(i), Front: fronts[i]})
-		run(c, now, out)
+		runSteps(c, now, outstanding)
 	}
-	for i := range 8 { // some go to a target that hangs, others wait
-		ask(i)
+	for i := range 8 { // some are sent to a target that never answers, others wait
+		submit(i)
 	}
-	by := now + 2_000_000
-	c.End(by)
-	run(c, now, out)
+	deadline := now + 2_000_000
+	c.End(deadline)
+	runSteps(c, now, outstanding)
 	now += 1_000_000
 	for i := 8; i < 12; i++ {
-		ask(i)
+		submit(i)
 	}
-	for now < by+2*settings().Tick {
+	for now < deadline+2*settings().Tick {
 		now += settings().Tick
-		run(c, now, out)
+		runSteps(c, now, outstanding)
 	}
 	for i, f := range fronts {
 		if f.answers != 1 {
-			t.Errorf("request %d: %d answers by the end", i, f.answers)
+			t.Errorf("request %d: %d answers by the deadline", i, f.answers)
 		}
 	}
-	if ta := c.Tally(); ta.Held != 0 || ta.Sends == 0 {
-		t.Errorf("%+v", ta)
+	if tally := c.Tally(); tally.Held != 0 || tally.Sends == 0 {
+		t.Errorf("requests held after the deadline, or none sent: %+v", tally)
 	}
 }
 
-// A late answer to an attempt that was given up reaches nobody.
+// The answer to an attempt that has timed out is counted as late and not delivered.
 func TestLateAnswer(t *testing.T) {
 	c, _ := New(settings(), 1)
 	now := logic.Micros(1_000_000_000)
 	c.Nodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
-	f := &recorder{t: t}
-	r := &Request{Class: 0, Plan: 1, Attached: 1, Units: 1, Left: 50_000, Front: f}
+	front := &recorder{t: t}
+	r := &Request{Class: 0, Plan: 1, Attached: 1, Units: 1, Left: 50_000, Front: front}
 	c.Take(now, r)
-	out := map[*Attempt]*carried{}
-	run(c, now, out)
-	if len(out) != 1 {
-		t.Fatal("not sent")
+	outstanding := map[*Attempt]*sentAttempt{}
+	runSteps(c, now, outstanding)
+	if len(outstanding) != 1 {
+		t.Fatal("the request was not sent")
 	}
-	run(c, now+60_000, out)
-	if f.answers != 1 || f.verdict[Served] != 0 {
-		t.Fatalf("%+v", f)
+	runSteps(c, now+60_000, outstanding)
+	if front.answers != 1 || front.verdicts[Served] != 0 {
+		t.Fatalf("want one answer that is not Served: %+v", front)
 	}
-	for a := range out {
+	for a := range outstanding {
 		c.Ended(now+70_000, a, Result{Outcome: logic.OK, Body: []byte("late"), Load: logic.NoLoad})
 	}
-	run(c, now+70_000, out)
-	if f.answers != 1 || c.Tally().LateEnds != 1 {
-		t.Fatalf("%+v %+v", f, c.Tally())
+	runSteps(c, now+70_000, outstanding)
+	if front.answers != 1 || c.Tally().LateEnds != 1 {
+		t.Fatalf("want no second answer and one late end: %+v %+v", front, c.Tally())
 	}
 }
--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -5,84 +5,86 @@
 	"appleplank/logic"
 )
 
-// Request is a request from the time its front hands it over until it is answered or its client has left. What its
-// slices hold must stand until then.
+// Request is a client's request. The core uses it from the time its front submits it until it is answered or its client
+// has left; the front must not change the contents of its slices until then.
 type Request struct {
-	Method, Target, ID, Once []byte // Once: the key by which targets drop repeats
+	Method, Target, ID, Once []byte // Once is the idempotency key by which targets detect repeated requests
 	Body                     []byte
 
 	Class, Plan, Cell int
 	Block             uint64
 	Volume            logic.VolumeID
 	Attached, Units   float64
-	Left              logic.Micros // patience from its last byte on
+	Left              logic.Micros // how long the client waits, from the request's last byte on
 	Front             Front
 
 	entry *entry
 }
 
-// Verdict is the kind of a final answer.
+// Verdict is the kind of final answer that a request gets.
 type Verdict uint8
 
 const (
 	Served  Verdict = iota
-	Refused         // a retry does no harm
-	Failed          // no promise
+	Refused         // without effect: the client may retry
+	Failed          // the request may or may not have taken effect
 )
 
-// Answer is a request's one final answer.
+// Answer is the final answer to a request. Each request gets one.
 type Answer struct {
 	Verdict  Verdict
-	Body     []byte       // served: what the target made for it
-	Kept     bool         // the body stands for good; else until the call returns
-	CoolDown logic.Micros // refused: when a retry has a chance; 0: no advice
-	Limited  bool         // refused: the plan's limit stands in the way
+	Body     []byte       // served: the body of the target's answer
+	Kept     bool         // the body stays valid; otherwise only until Front.Answer returns
+	CoolDown logic.Micros // refused: after which a retry may succeed; 0: unknown
+	Limited  bool         // refused: the plan's limit is used up
 }
 
-// Front is where requests come from. It is called while the core's lock is held and must not wait; the request is its
-// own again.
+// Front is the source of requests. Answer delivers the final answer to one of its requests and hands the request back
+// to the front. It is called while the core's lock is held and must not block.
 type Front interface {
 	Answer(now logic.Micros, r *Request, a Answer)
 }
 
-// Attempt is one send of a request, from Start until its end was brought and the back is Done with it.
+// Attempt is one send of a request. It is valid from [Back].Start until [Back].Done.
 type Attempt struct {
 	drive.Attempt
-	By   logic.Micros // it must have left by then, or not at all; 0: there is no such time
-	Conn any          // the back's own
+	By   logic.Micros // it must be sent completely by then, or not at all; 0: no bound
+	Conn any          // set and used by the back only
 
 	e *entry
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome   logic.Outcome
 	Used      int // as in [logic.AttemptEnded]
 	Elsewhere int
 	Load      logic.Load
-	Body      []byte // of an answer; stands until Done
-	Kept      bool   // or for good
+	Body      []byte // of an answer; valid until [Back].Done
+	Kept      bool   // the body stays valid after Done
 }
 
-// Back carries attempts out. Its methods are called while the core's lock is held and must not wait.
+// Back sends attempts to targets. Its methods are called while the core's lock is held and must not block. It reports
+// the end of each attempt that was started exactly once, by [Shell.Ended].
 type Back interface {
-	// Start begins an attempt; its end is brought exactly once. The request stands only for the call.
+	// Start begins an attempt. The request is valid only during the call.
 	Start(now logic.Micros, a *Attempt, r *Request)
-	// Drop gives an attempt up; its end is brought as of any other.
+	// Drop cancels an attempt; its end is still reported.
 	Drop(a *Attempt)
-	// Recall gives an attempt up that has not left whole; its end is brought as of any other.
+	// Recall cancels an attempt unless it is sent completely; its end is still reported.
 	Recall(a *Attempt)
-	// Done says that what its end brought was used.
+	// Done is called when the result of an attempt is no longer used; the attempt is reused afterwards.
 	Done(now logic.Micros, a *Attempt)
-	// Targets says where targets are from now on; those that are not named are gone.
+	// Targets replaces the list of targets; targets that are not listed are gone.
 	Targets(now logic.Micros, list []Place)
 }
 
-// Place is where a target is reached, and as what. An attempt that was meant for another place is not sent.
+// Place identifies a running target and its address. An attempt is not sent if the place of its target has changed
+// since the attempt was started.
 type Place struct {
 	Node    logic.NodeID
 	Address string
 	Cell    int
 	Started logic.Micros
-	Takes   bool // new work: it does not drain
+	Takes   bool // accepts new work: it is not draining
 }
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -11,131 +11,133 @@
 	"go.uber.org/zap"
 )
 
-// Shell gives a core real time and sockets.
+// Shell runs a [Core] in real time, between a front and a back.
 type Shell struct {
 	core  *Core
 	back  Back
 	log   *zap.Logger
 	loop  *drive.Loop[input]
-	epoch time.Time
-	base  logic.Micros
+	epoch time.Time    // when the shell was made, on the monotonic clock
+	start logic.Micros // the time of the machine at epoch
 }
 
 type inputKind uint8
 
 const (
-	taken inputKind = iota
-	left
-	ended
-	nodes
-	room
-	ending
+	inputRequest inputKind = iota
+	inputClientGone
+	inputAttemptEnded
+	inputNodes
+	inputCapacity
+	inputEnd
 )
 
-// input is something that happened. What is queued is bounded by what is out.
+// input is an event for the core. The number of queued inputs is bounded by the number of requests and attempts.
 type input struct {
-	kind    inputKind
-	request *Request
-	attempt *Attempt
-	result  Result
-	list    []logic.Node
-	places  []Place
-	room    int
-	by      logic.Micros
+	kind      inputKind
+	request   *Request
+	attempt   *Attempt
+	result    Result
+	changed   []logic.Node
+	endpoints []Place
+	capacity  int
+	deadline  logic.Micros
 }
 
-// NewShell makes a shell whose steps begin pace apart at least. All initiators read one clock, by which hosts share
-// out turns: it is the machine's at the start, and goes on while that is set.
-func NewShell(c *Core, pace logic.Micros, log *zap.Logger) *Shell {
+// NewShell returns a shell whose steps begin at least minInterval apart. The clocks of all initiators must agree, as
+// hosts use them to take turns: the shell's clock starts at the time of the machine and runs on steadily when that is
+// changed.
+func NewShell(c *Core, minInterval logic.Micros, log *zap.Logger) *Shell {
 	now := time.Now()
-	s := &Shell{core: c, log: log, epoch: now, base: logic.Micros(now.UnixMicro())}
-	s.loop = drive.NewLoop(s.Now, pace, s.step)
+	s := &Shell{core: c, log: log, epoch: now, start: logic.Micros(now.UnixMicro())}
+	s.loop = drive.NewLoop(s.Now, minInterval, s.step)
 	return s
 }
 
-// SetBack tells who carries attempts out, before anything is brought.
+// SetBack sets the back. It is called before any input.
 func (s *Shell) SetBack(b Back) { s.back = b }
 
-// SetTrace makes the core write down what it believes, before anything is brought.
+// SetTrace makes the core write its events to w; nil turns tracing off. It is called before any input.
 func (s *Shell) SetTrace(w *trace.Writer) { s.core.trace = w }
 
-// Now is the shell's clock.
-func (s *Shell) Now() logic.Micros { return s.base + logic.Micros(time.Since(s.epoch).Microseconds()) }
+// Now returns the time of the shell's clock.
+func (s *Shell) Now() logic.Micros { return s.start + logic.Micros(time.Since(s.epoch).Microseconds()) }
 
-// Take hands a request over; its front hears of the answer once, unless it says before that the client has left.
-func (s *Shell) Take(r *Request) { s.loop.Post(input{kind: taken, request: r}) }
+// Take submits a request. Its front receives exactly one answer.
+func (s *Shell) Take(r *Request) { s.loop.Post(input{kind: inputRequest, request: r}) }
 
-// Gone says that a request's client has left. The front may still hear of an answer that was on its way.
-func (s *Shell) Gone(r *Request) { s.loop.Post(input{kind: left, request: r}) }
+// Gone reports that the client of a request has left. The front still receives an answer: Failed, or the final answer
+// if that was given before.
+func (s *Shell) Gone(r *Request) { s.loop.Post(input{kind: inputClientGone, request: r}) }
 
-// Room says how many requests may be held at once from now on.
-func (s *Shell) Room(requests int) { s.loop.Post(input{kind: room, room: requests}) }
+// Room sets the number n of requests that may be held at once.
+func (s *Shell) Room(n int) { s.loop.Post(input{kind: inputCapacity, capacity: n}) }
 
-// End says that all that is held or comes must be answered by the given time.
-func (s *Shell) End(by logic.Micros) { s.loop.Post(input{kind: ending, by: by}) }
+// End begins the shutdown: all requests, held ones and new ones, must be answered by time t.
+func (s *Shell) End(t logic.Micros) { s.loop.Post(input{kind: inputEnd, deadline: t}) }
 
-// Ended brings the end of an attempt.
+// Ended reports the end of an attempt.
 func (s *Shell) Ended(a *Attempt, res Result) {
-	s.loop.Post(input{kind: ended, attempt: a, result: res})
+	s.loop.Post(input{kind: inputAttemptEnded, attempt: a, result: res})
 }
 
-// Nodes brings news of the targets, and where all of them are.
+// Nodes reports changed targets, and the list of all of them.
 func (s *Shell) Nodes(changed []logic.Node, all []members.Target) {
-	s.loop.Post(input{kind: nodes, list: changed, places: Places(all)})
+	s.loop.Post(input{kind: inputNodes, changed: changed, endpoints: Places(all)})
 }
 
-// Steps counts a shell's steps.
+// Steps counts the steps of a shell.
 type Steps struct {
 	All, Late uint64
-	LateBy    logic.Micros // the most a timer has come too late
+	LateBy    logic.Micros // maximum delay of a timer
 }
 
-// Tally tells the counts so far.
+// Tally returns the counts so far.
 func (s *Shell) Tally() (t Tally, steps Steps) {
 	s.loop.With(func(logic.Micros) { t = s.core.Tally() })
 	return t, Steps{s.loop.Steps.Load(), s.loop.Late.Load(), logic.Micros(s.loop.LateBy.Load())}
 }
 
-// Close stops the timers.
+// Close stops the timers of the shell.
 func (s *Shell) Close() { s.loop.Close() }
 
 func (s *Shell) step(now logic.Micros, in []input) logic.Micros {
 	c := s.core
 	for i := range in {
 		switch x := &in[i]; x.kind {
-		case taken:
+		case inputRequest:
 			c.Take(now, x.request)
-		case left:
+		case inputClientGone:
 			if c.Gone(now, x.request) {
 				x.request.Front.Answer(now, x.request, Answer{Verdict: Failed})
 			}
-		case ended:
+		case inputAttemptEnded:
 			c.Ended(now, x.attempt, x.result)
-		case room:
-			c.Room(x.room)
-		case ending:
-			c.End(x.by)
-		case nodes:
-			s.back.Targets(now, x.places)
-			if len(x.list) > 0 {
-				c.Nodes(listKind, x.list)
+		case inputCapacity:
+			c.Room(x.capacity)
+		case inputEnd:
+			c.End(x.deadline)
+		case inputNodes:
+			s.back.Targets(now, x.endpoints)
+			if len(x.changed) > 0 {
+				c.Nodes(listKind, x.changed)
 			}
 		}
 	}
 	for _, a := range c.step(now) {
 		switch a.kind {
-		case start:
+		case actionStart:
 			s.back.Start(now, a.attempt, a.request)
-		case drop:
+		case actionDrop:
 			s.back.Drop(a.attempt)
-		case recall:
+		case actionRecall:
 			s.back.Recall(a.attempt)
-		case answer:
+		case actionAnswer:
 			a.request.Front.Answer(now, a.request, a.answer)
-		case done:
+		case actionDone:
 			s.back.Done(now, a.attempt)
 			c.recycle(a.attempt)
-		case note:
+		case actionLog:
 			s.log.Info(a.text)
 		}
 	}
