--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace writes down, side by side, what the core believes of each attempt and what passed on its socket, and
-// holds the one against the other. It is off in service.
+// Package trace records for each attempt the events that the core saw and those that happened on its socket, and
+// compares the two. It is meant for tests; tracing is off in production.
 package trace
 
 import (
@@ -14,22 +14,22 @@
 	"appleplank/logic"
 )
 
-// mark begins each line, so that logs may stand between.
-const mark = "trace "
+// linePrefix is the prefix of each trace line, which tells it from log lines in the same file.
+const linePrefix = "trace "
 
-// Writer writes lines; what does not fit into its buffer waits for the disk, so it is for trials only.
+// Writer writes trace lines. Put blocks on the disk when the buffer is full, so it is not for production.
 type Writer struct {
 	mu sync.Mutex
 	w  *bufio.Writer
 }
 
-// New writes to w.
+// New returns a writer to w.
 func New(w io.Writer) *Writer {
 	t := &Writer{w: bufio.NewWriterSize(w, 64<<10)}
 	return t
 }
 
-// Line is one thing that was seen: by the core, or on a socket.
+// Line is one event, seen by the core or on a socket.
 type Line struct {
 	At      logic.Micros
 	Side    string // core, wire
@@ -37,28 +37,28 @@
 	Request logic.RequestID
 	Number  int
 	Node    logic.NodeID
-	Outcome string // the core's word; of a socket: what was read, and whether all was written
+	Outcome string // core: one of Words, or details of the event; wire: what was read, and whether all was written
 	Took    logic.Micros
-	Load    float64 // requests that wait at the node, as reported; below zero: none
+	Load    float64 // requests waiting at the node, as reported; negative: no report
 }
 
-const form = mark + "%d %s %s %d %d %d %s %d %g\n"
+const lineFormat = linePrefix + "%d %s %s %d %d %d %s %d %g\n"
 
-// Put writes a line.
+// Put writes a line to the buffer.
 func (t *Writer) Put(l Line) {
 	t.mu.Lock()
-	fmt.Fprintf(t.w, form, l.At, l.Side, l.What, l.Request, l.Number, l.Node, l.Outcome, l.Took, l.Load)
+	fmt.Fprintf(t.w, lineFormat, l.At, l.Side, l.What, l.Request, l.Number, l.Node, l.Outcome, l.Took, l.Load)
 	t.mu.Unlock()
 }
 
-// Flush writes out what is buffered.
+// Flush writes the buffered lines.
 func (t *Writer) Flush() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.w.Flush()
 }
 
-// Keep flushes now and then until stop is closed.
+// Keep flushes every 100 ms until stop is closed, and once more then.
 func (t *Writer) Keep(stop <-chan struct{}) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
@@ -73,40 +73,41 @@
 	}
 }
 
-// Words are the outcomes as they stand in a trace.
+// Words are the names of the outcomes in a trace.
 var Words = [...]string{logic.OK: "ok", logic.Failed: "failed", logic.Full: "full", logic.TimedOut: "timeout",
 	logic.ConnectFailed: "connect", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.Moot: "moot"}
 
-// Report is what came of holding one side against the other.
+// Report is the result of comparing the two sides of a trace.
 type Report struct {
 	Attempts int
-	Pairs    map[[2]string]int // belief, socket
-	// How much later the core dealt with an end than its socket saw it, and a send left than it was decided.
+	Pairs    map[[2]string]int // attempts by the outcome at the core and on the socket
+	// Delays: from the end of an attempt on its socket until the core processed it, and from the core's decision to
+	// send until the request was sent.
 	EndLate, SendLate []logic.Micros
-	Alone             int // ends that only one side has
+	Alone             int // ends that only one side recorded
 }
 
-type key struct {
+type attemptKey struct {
 	request logic.RequestID
 	number  int
 }
 
-// Read compares the lines of a trace.
+// Read reads a trace and compares its two sides.
 func Read(r io.Reader) (*Report, error) {
 	rep := &Report{Pairs: map[[2]string]int{}}
-	core, wire, sent := map[key]Line{}, map[key]Line{}, map[key]Line{}
+	core, wire, sent := map[attemptKey]Line{}, map[attemptKey]Line{}, map[attemptKey]Line{}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		_, text, ok := strings.Cut(lines.Text(), mark)
+		_, text, ok := strings.Cut(lines.Text(), linePrefix)
 		if !ok {
 			continue
 		}
 		var l Line
-		if _, err := fmt.Sscanf(mark+text, strings.TrimSuffix(form, "\n"), &l.At, &l.Side, &l.What, &l.Request, &l.Number, &l.Node, &l.Outcome, &l.Took, &l.Load); err != nil {
-			return nil, fmt.Errorf("%q: %w", text, err)
+		if _, err := fmt.Sscanf(linePrefix+text, strings.TrimSuffix(lineFormat, "\n"), &l.At, &l.Side, &l.What, &l.Request, &l.Number, &l.Node, &l.Outcome, &l.Took, &l.Load); err != nil {
+			return nil, fmt.Errorf("trace line %q: %w", text, err)
 		}
-		k := key{l.Request, l.Number}
+		k := attemptKey{l.Request, l.Number}
 		switch {
 		case l.What == "send" && l.Side == "core":
 			rep.Attempts++
@@ -137,7 +138,7 @@
 	return rep, lines.Err()
 }
 
-// Write prints the report.
+// Write prints the report as text.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d attempts; %d ends that only one side has\n", r.Attempts, r.Alone)
 	fmt.Fprintf(w, "%-10s  %-22s  %s\n", "believed", "on the socket", "attempts")
