--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -26,7 +26,7 @@
 
 const (
 	Served  Verdict = iota
-	Refused         // without effect: the client may retry
+	Refused         // a retry is safe
 	Failed          // the request may or may not have taken effect
 )
 
