--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps one watch on the list of targets. What its lines come to, and when a watch is given up, is
-// decided by members.Follow.
+// Package discovery watches the list of targets over HTTP. [members.Follow] decides what the lists mean and when a
+// watch is abandoned.
 package discovery
 
 import (
@@ -22,74 +22,76 @@
 )
 
 const (
-	path    = "/catalog/members"
-	longest = 1 << 20 // a list
+	membersPath = "/catalog/members"
+	maxListSize = 1 << 20 // bytes of a list
 )
 
-// Sink is who hears of the targets.
+// Sink receives the targets.
 type Sink interface {
 	Now() logic.Micros
 	Nodes(changed []logic.Node, all []members.Target)
 }
 
-// Watch follows discovery.
+// Watch keeps the sink informed of the targets that discovery lists.
 type Watch struct {
-	sink  Sink
-	zones []string
-	log   *zap.Logger
-	heard func() // called once, when discovery has first told something
-
-	mu     sync.Mutex
-	follow *members.Follow
-	once   sync.Once
-	cancel context.CancelFunc // of the watch in use
-	uses   int                // calls of Use so far
-	wait   sync.WaitGroup
-	stop   context.Context
-	end    context.CancelFunc
+	sink        Sink
+	zones       []string
+	log         *zap.Logger
+	onFirstNews func() // called once, after the first list or heartbeat of discovery
+
+	mu            sync.Mutex
+	follow        *members.Follow
+	firstNews     sync.Once
+	cancelCurrent context.CancelFunc // stops the current watch
+	useCount      int                // number of calls of Use
+	running       sync.WaitGroup
+	ctx           context.Context
+	stop          context.CancelFunc
 }
 
-// New starts from the list that is known.
-func New(known members.News, zones []string, sink Sink, heard func(), log *zap.Logger) *Watch {
-	w := &Watch{sink: sink, zones: zones, log: log, heard: heard}
-	w.stop, w.end = context.WithCancel(context.Background())
+// New returns a watch that starts from a known list and passes it to the sink. It calls onFirstNews once, when
+// discovery has first sent a list or a heartbeat.
+func New(known members.News, zones []string, sink Sink, onFirstNews func(), log *zap.Logger) *Watch {
+	w := &Watch{sink: sink, zones: zones, log: log, onFirstNews: onFirstNews}
+	w.ctx, w.stop = context.WithCancel(context.Background())
 	follow, nodes := members.NewFollow(sink.Now(), known)
 	w.follow = follow
 	sink.Nodes(nodes, follow.Targets())
 	return w
 }
 
-// Use watches discovery at an address from now on. A watch elsewhere ends once this one has told something.
+// Use watches discovery at the given address from now on. A watch at another address ends once this one has received a
+// list or a heartbeat.
 func (w *Watch) Use(address string) {
-	ctx, cancel := context.WithCancel(w.stop)
+	ctx, cancel := context.WithCancel(w.ctx)
 	w.mu.Lock()
-	before := w.cancel
-	w.cancel = cancel
-	w.uses++
-	use := w.uses
+	stopPrevious := w.cancelCurrent
+	w.cancelCurrent = cancel
+	w.useCount++
+	use := w.useCount
 	w.mu.Unlock()
-	if before == nil {
-		before = func() {}
+	if stopPrevious == nil {
+		stopPrevious = func() {}
 	}
-	w.wait.Go(func() {
-		defer before()
-		w.run(ctx, address, use, before)
+	w.running.Go(func() {
+		defer stopPrevious()
+		w.watchUntilDone(ctx, address, use, stopPrevious)
 	})
 }
 
-// Close ends the watch.
+// Close ends the watch and waits for its goroutines.
 func (w *Watch) Close() {
-	w.end()
-	w.wait.Wait()
+	w.stop()
+	w.running.Wait()
 }
 
-// run watches until ctx ends.
-func (w *Watch) run(ctx context.Context, address string, use int, up func()) {
+// watchUntilDone watches again and again until ctx is done, with the pauses that [members.Follow] asks for.
+func (w *Watch) watchUntilDone(ctx context.Context, address string, use int, onNews func()) {
 	for ctx.Err() == nil {
-		begun := w.sink.Now()
-		err := w.watch(ctx, address, use, begun, up)
+		started := w.sink.Now()
+		err := w.watchOnce(ctx, address, use, started, onNews)
 		w.mu.Lock()
-		pause := w.follow.Ended(w.sink.Now(), begun)
+		pause := w.follow.Ended(w.sink.Now(), started)
 		w.mu.Unlock()
 		if ctx.Err() == nil {
 			w.log.Info("the watch on discovery ended", zap.String("address", address), zap.Error(err), zap.Duration("pause", micros(pause)))
@@ -104,28 +106,29 @@
 func micros(d logic.Micros) time.Duration { return time.Duration(d) * time.Microsecond }
 
 var (
-	errAnew  = errors.New("what it tells does not follow on what is held")
-	errMoved = errors.New("discovery is watched elsewhere by now")
+	errRevisionReset = errors.New("the list does not continue from the last revision")
+	errSuperseded    = errors.New("superseded by a watch at a newer address")
 )
 
-// watch asks for changes, or first for the whole list, and takes them until the connection ends.
-func (w *Watch) watch(ctx context.Context, address string, use int, begun logic.Micros, up func()) error {
+// watchOnce requests the changes, or the whole list where one is needed, and applies what it receives until the
+// connection ends.
+func (w *Watch) watchOnce(ctx context.Context, address string, use int, started logic.Micros, onNews func()) error {
 	w.mu.Lock()
 	whole, after := w.follow.Ask()
 	w.mu.Unlock()
-	ask := fmt.Sprintf("%s?watch=1&after=%d", path, after)
+	target := fmt.Sprintf("%s?watch=1&after=%d", membersPath, after)
 	if whole {
-		ask = path
+		target = membersPath
 	}
-	conn, err := (&net.Dialer{Timeout: w.silence(begun, 0)}).DialContext(ctx, "tcp", address)
+	conn, err := (&net.Dialer{Timeout: w.remainingSilence(started, 0)}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetDeadline(time.Now().Add(w.silence(begun, 0)))
-	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", ask, address); err != nil {
+	conn.SetDeadline(time.Now().Add(w.remainingSilence(started, 0)))
+	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, address); err != nil {
 		return err
 	}
 	r := http1.NewReader(conn)
@@ -134,25 +137,25 @@
 		return err
 	}
 	if m.Status != 200 {
-		return fmt.Errorf("status %d", m.Status)
+		return fmt.Errorf("discovery answered with status %d", m.Status)
 	}
-	conn.SetDeadline(time.Now().Add(w.silence(begun, w.sink.Now())))
+	conn.SetDeadline(time.Now().Add(w.remainingSilence(started, w.sink.Now())))
 	lists := bufio.NewScanner(r.Body(&m))
-	lists.Buffer(make([]byte, 0, 4<<10), longest)
-	lists.Split(new(value).split)
+	lists.Buffer(make([]byte, 0, 4<<10), maxListSize)
+	lists.Split(new(objectSplitter).split)
 	for first := true; lists.Scan(); {
-		// Only what is whole counts as heard: a list that stops half way is silence.
-		conn.SetDeadline(time.Now().Add(w.silence(begun, w.sink.Now())))
+		// Only complete lists and blanks extend the deadline: a list that stops half way counts as silence.
+		conn.SetDeadline(time.Now().Add(w.remainingSilence(started, w.sink.Now())))
 		if list := lists.Bytes(); len(list) > 0 {
-			if err := w.take(list, use, first); err != nil {
+			if err := w.applyList(list, use, first); err != nil {
 				return err
 			}
 			first = false
 		} else if whole {
-			continue // blanks before the list
+			continue // blanks before the whole list
 		}
-		up()
-		w.once.Do(w.heard)
+		onNews()
+		w.firstNews.Do(w.onFirstNews)
 		if whole {
 			return nil
 		}
@@ -160,30 +163,30 @@
 	return lists.Err()
 }
 
-// value finds where a JSON object ends that may stand over several lines. Between objects each run of blanks, such as
-// an empty line that says that nothing has changed, is an empty token.
-type value struct {
-	at, depth       int
+// objectSplitter splits a stream into JSON objects, which may span several lines. Each run of blanks between objects,
+// such as the empty line that discovery sends as a heartbeat, is an empty token.
+type objectSplitter struct {
+	offset, depth   int
 	quoted, escaped bool
 }
 
 // split implements [bufio.SplitFunc].
-func (v *value) split(data []byte, atEOF bool) (int, []byte, error) {
-	if v.at == 0 {
+func (v *objectSplitter) split(data []byte, atEOF bool) (int, []byte, error) {
+	if v.offset == 0 {
 		if n := len(data) - len(bytes.TrimLeft(data, " \t\r\n")); n > 0 {
 			return n, data[:0], nil
 		}
 		if len(data) > 0 && data[0] != '{' {
-			return len(data), data, nil // what cannot be read is for the reader to say
+			return len(data), data, nil // the JSON decoder reports the error
 		}
 	}
-	for ; v.at < len(data); v.at++ {
-		switch c := data[v.at]; {
+	for ; v.offset < len(data); v.offset++ {
+		switch c := data[v.offset]; {
 		case v.escaped:
 			v.escaped = false
 		case v.quoted:
 			if c < ' ' {
-				return len(data), data, nil // no string goes over the end of a line
+				return len(data), data, nil // control characters are invalid in JSON strings
 			}
 			v.escaped, v.quoted = c == '\\', c != '"'
 		case c == '"':
@@ -192,8 +195,8 @@
 			v.depth++
 		case c == '}' || c == ']':
 			if v.depth--; v.depth == 0 {
-				n := v.at + 1
-				*v = value{}
+				n := v.offset + 1
+				*v = objectSplitter{}
 				return n, data[:n], nil
 			}
 		}
@@ -204,18 +207,19 @@
 	return 0, nil, nil
 }
 
-// silence is for how long a call may still say nothing, by when it last did.
-func (w *Watch) silence(begun, heard logic.Micros) time.Duration {
-	return micros(max(members.SilentAt(begun, heard)-w.sink.Now(), 1))
+// remainingSilence returns how long a call begun at started may still be silent; lastHeard is the time of the last
+// data, or 0.
+func (w *Watch) remainingSilence(started, lastHeard logic.Micros) time.Duration {
+	return micros(max(members.SilentAt(started, lastHeard)-w.sink.Now(), 1))
 }
 
-// take hands on what a list tells.
-func (w *Watch) take(list []byte, use int, first bool) error {
+// applyList parses a list and passes the changes that it makes to the sink.
+func (w *Watch) applyList(list []byte, use int, first bool) error {
 	news, err := config.News(list, w.zones)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.follow.Counts(use) {
-		return errMoved
+		return errSuperseded
 	}
 	if err != nil {
 		w.follow.Unread()
@@ -227,7 +231,7 @@
 		w.log.Warn("discovery", zap.Error(complaint))
 	}
 	if again {
-		return errAnew
+		return errRevisionReset
 	}
 	if len(changed) > 0 {
 		w.sink.Nodes(changed, w.follow.Targets())
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -18,31 +18,32 @@
 	"go.uber.org/zap"
 )
 
-// often is how soon an agent says again that nothing has changed.
-const often = 200 * time.Millisecond
+// heartbeat is the interval at which an agent sends an empty line.
+const heartbeat = 200 * time.Millisecond
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const sec logic.Micros = 1000 * 1000
 
-// hand is a sink that holds what it was told.
-type hand struct {
-	begun time.Time
-	told  chan []members.Target
+// recordingSink is a sink that records the lists it receives.
+type recordingSink struct {
+	started time.Time
+	updates chan []members.Target
 }
 
-func (h *hand) Now() logic.Micros {
-	return 1000*sec + logic.Micros(time.Since(h.begun).Microseconds())
+func (h *recordingSink) Now() logic.Micros {
+	return 1000*sec + logic.Micros(time.Since(h.started).Microseconds())
 }
-func (h *hand) Nodes(_ []logic.Node, all []members.Target) { h.told <- all }
+func (h *recordingSink) Nodes(_ []logic.Node, all []members.Target) { h.updates <- all }
 
-// agent is a discovery agent: each call goes to the next step of its script, the last one stays.
+// agent is an emulated discovery agent: each request is answered by the next step of its script, and all further ones
+// by the last step.
 type agent struct {
-	l     net.Listener
-	calls chan string // what was asked, as it came
+	listener net.Listener
+	requests chan string // the targets of the requests, in order
 }
 
-// step answers a call; the connection is closed when it returns.
+// step answers a request; the connection is closed when it returns.
 type step func(c net.Conn, asked string)
 
 func newAgent(t *testing.T, script ...step) *agent {
@@ -52,24 +53,24 @@
 		t.Fatal(err)
 	}
 	a := &agent{l, make(chan string, 1000)}
-	over := make(chan struct{})
-	var wait sync.WaitGroup
-	t.Cleanup(func() { l.Close(); close(over); wait.Wait() })
-	wait.Go(func() {
+	stopped := make(chan struct{})
+	var connections sync.WaitGroup
+	t.Cleanup(func() { l.Close(); close(stopped); connections.Wait() })
+	connections.Go(func() {
 		for n := 0; ; n++ {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
 			s := script[min(n, len(script)-1)]
-			wait.Go(func() {
+			connections.Go(func() {
 				defer c.Close()
-				wait.Go(func() { <-over; c.Close() })
+				connections.Go(func() { <-stopped; c.Close() })
 				r, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil {
 					return
 				}
-				a.calls <- r.URL.String()
+				a.requests <- r.URL.String()
 				s(c, r.URL.String())
 			})
 		}
@@ -77,7 +78,7 @@
 	return a
 }
 
-const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
@@ -89,12 +90,12 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(entries, ","))
 }
 
-// say writes something and goes on with the next; hush holds the connection open and says nothing.
-func say(text string) step { return func(c net.Conn, _ string) { io.WriteString(c, text) } }
-func hush(c net.Conn, _ string) {
+// send writes a text; staySilent holds the connection open without writing; sequence runs several steps.
+func send(text string) step { return func(c net.Conn, _ string) { io.WriteString(c, text) } }
+func staySilent(c net.Conn, _ string) {
 	io.Copy(io.Discard, c)
 }
-func and(steps ...step) step {
+func sequence(steps ...step) step {
 	return func(c net.Conn, asked string) {
 		for _, s := range steps {
 			s(c, asked)
@@ -102,9 +103,9 @@
 	}
 }
 
-// beat keeps a watch alive.
-func beat(c net.Conn, _ string) {
-	for tick := time.NewTicker(often); ; <-tick.C {
+// sendHeartbeats sends empty lines, which keep a watch alive, until the connection fails.
+func sendHeartbeats(c net.Conn, _ string) {
+	for tick := time.NewTicker(heartbeat); ; <-tick.C {
 		if _, err := io.WriteString(c, chunk("\n")); err != nil {
 			tick.Stop()
 			return
@@ -112,100 +113,100 @@
 	}
 }
 
-// answer serves whoever asks: the whole list as such, a watch with it.
-func answer(text string) step {
+// serveList answers any request with a list: alone, or as the first list of a watch.
+func serveList(text string) step {
 	return func(c net.Conn, asked string) {
 		if strings.Contains(asked, "watch=1") {
-			io.WriteString(c, head+chunk(text+"\n"))
-			beat(c, asked)
+			io.WriteString(c, responseHead+chunk(text+"\n"))
+			sendHeartbeats(c, asked)
 		} else {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
 	}
 }
 
-type bed struct {
+type testWatch struct {
 	*testing.T
-	*hand
-	w *Watch
+	*recordingSink
+	watch *Watch
 }
 
-// newBed starts a watch that knows one target, s-1, in use.
-func newBed(t *testing.T, address string) *bed {
+// newTestWatch starts a watch that knows one target, s-1, which is in service.
+func newTestWatch(t *testing.T, address string) *testWatch {
 	t.Helper()
-	h := &hand{time.Now(), make(chan []members.Target, 1000)}
+	h := &recordingSink{time.Now(), make(chan []members.Target, 1000)}
 	known := members.News{Revision: 1, Complete: true, Targets: []members.Target{{Node: logic.Node{ID: 1, State: logic.Ready}, Name: "s-1", Address: "127.0.0.1:7"}}}
-	b := &bed{t, h, New(known, []string{"a"}, h, func() {}, zap.NewNop())}
-	<-h.told
-	t.Cleanup(b.w.Close)
-	b.w.Use(address)
+	b := &testWatch{t, h, New(known, []string{"a"}, h, func() {}, zap.NewNop())}
+	<-h.updates
+	t.Cleanup(b.watch.Close)
+	b.watch.Use(address)
 	return b
 }
 
-// drained waits until a target is known to drain, and tells the time.
-func (b *bed) drained(name string) logic.Micros {
+// waitDraining waits until a target is reported as draining, and returns the time.
+func (b *testWatch) waitDraining(name string) logic.Micros {
 	b.Helper()
-	late := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for {
 		select {
-		case all := <-b.told:
+		case all := <-b.updates:
 			for _, t := range all {
 				if t.Name == name && t.State == logic.Draining {
 					return b.Now()
 				}
 			}
-		case <-late:
-			b.Fatal("never heard that " + name + " drains")
+		case <-timeout:
+			b.Fatal("not within 30 s: " + name + " is reported as draining")
 		}
 	}
 }
 
-func (a *agent) asked(t *testing.T) string {
+func (a *agent) nextRequest(t *testing.T) string {
 	t.Helper()
 	select {
-	case s := <-a.calls:
+	case s := <-a.requests:
 		return s
 	case <-time.After(30 * time.Second):
-		t.Fatal("discovery is not asked again")
+		t.Fatal("no request to discovery within 30 s")
 		return ""
 	}
 }
 
-// A call that falls silent or is lost at any stage is followed by another, whose answer counts, in time: 6 s after
-// discovery could be reached, which here is when the first call was made. (The clock of the machine may stand still
-// for a moment, so the bound is tested by the sums in package members; here a second one is allowed.)
+// A call that falls silent or fails at any stage is followed by another one in time: a change is known 6 s after
+// discovery could be reached, which here is the time of the first call. The machine may stall for a moment, so the
+// exact bound is tested arithmetically in package members; here twice that time is allowed.
 func TestSilenceAtEachStage(t *testing.T) {
-	now := list(2, false, entry("s-1", "terminating"))
+	drainingList := list(2, false, entry("s-1", "terminating"))
 	for name, first := range map[string]step{
-		"says nothing":         hush,
-		"ends":                 say(""),
-		"half a head":          and(say(head[:20]), hush),
-		"the head alone":       and(say(head), hush),
-		"half a chunk's size":  and(say(head+"1"), hush),
-		"half a list":          and(say(head+chunk(now[:40])), hush),
-		"half a list, blanks":  and(say(head+chunk(now[:40]+"\n\n")), beat),
-		"after an empty line":  and(say(head+chunk("\n")), hush),
-		"after a list":         and(say(head+chunk(list(1, false)+"\n")), hush),
-		"ends after a list":    say(head + chunk(list(1, false)+"\n")),
-		"what cannot be read":  and(say(head+chunk(now[:40]+"\x00\n")), hush),
-		"no list":              and(say(head+chunk("many words\n")), hush),
-		"no status":            say("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n"),
-		"a list without a sum": and(say(head+chunk(`{"members":[]}`+"\n")), hush),
+		"says nothing":        staySilent,
+		"ends":                send(""),
+		"half a head":         sequence(send(responseHead[:20]), staySilent),
+		"the head alone":      sequence(send(responseHead), staySilent),
+		"half a chunk's size": sequence(send(responseHead+"1"), staySilent),
+		"half a list":         sequence(send(responseHead+chunk(drainingList[:40])), staySilent),
+		"half a list, blanks": sequence(send(responseHead+chunk(drainingList[:40]+"\n\n")), sendHeartbeats),
+		"after an empty line": sequence(send(responseHead+chunk("\n")), staySilent),
+		"after a list":        sequence(send(responseHead+chunk(list(1, false)+"\n")), staySilent),
+		"ends after a list":   send(responseHead + chunk(list(1, false)+"\n")),
+		"an invalid list":     sequence(send(responseHead+chunk(drainingList[:40]+"\x00\n")), staySilent),
+		"not a list":          sequence(send(responseHead+chunk("many words\n")), staySilent),
+		"status 503":          send("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n"),
+		"no revision":         sequence(send(responseHead+chunk(`{"members":[]}`+"\n")), staySilent),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a := newAgent(t, first, answer(list(2, true, entry("s-1", "terminating"))))
-			b := newBed(t, a.l.Addr().String())
-			a.asked(t)
-			begun := b.Now()
-			if took := b.drained("s-1") - begun; took > 12*sec {
-				t.Errorf("known after %d ms", took/1000)
+			a := newAgent(t, first, serveList(list(2, true, entry("s-1", "terminating"))))
+			b := newTestWatch(t, a.listener.Addr().String())
+			a.nextRequest(t)
+			started := b.Now()
+			if took := b.waitDraining("s-1") - started; took > 12*sec {
+				t.Errorf("the change was known after %d ms, want 12 s at most", took/1000)
 			}
 		})
 	}
 }
 
-// Refused for as long as nobody listens, it is asked again and again, and at once heard when it is back.
+// While connections to discovery are refused, the watch tries again and again, and receives the list once it is back.
 func TestRefusedAndBack(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -213,9 +214,9 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	b := newBed(t, address)
+	b := newTestWatch(t, address)
 	if l, err = net.Listen("tcp", address); err != nil {
-		t.Skip("the address was taken by somebody else")
+		t.Skip("the address is in use by another process")
 	}
 	defer l.Close()
 	go func() {
@@ -226,13 +227,13 @@
 		defer c.Close()
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err == nil {
-			answer(list(2, false, entry("s-1", "terminating")))(c, r.URL.String())
+			serveList(list(2, false, entry("s-1", "terminating")))(c, r.URL.String())
 		}
 	}()
-	b.drained("s-1")
+	b.waitDraining("s-1")
 }
 
-// Lists stand over several lines, indented, and come in pieces of any size; between them are empty lines.
+// Lists may be indented, span several lines, arrive in chunks of any size and be separated by empty lines.
 func TestIndentedAndInPieces(t *testing.T) {
 	text := func(revision int, phase string) string {
 		return fmt.Sprintf("{\n  \"revision\": %d,\r\n\t\"complete\": false,\n\n  \"members\": [\n    {\"id\": \"s-1\", \"host_port\": \"127.0.0.1:7\",\n"+
@@ -242,7 +243,7 @@
 		t.Run(fmt.Sprint("pieces of ", n), func(t *testing.T) {
 			a := newAgent(t, func(c net.Conn, _ string) {
 				all := "\n" + text(2, "in_service") + "\n\n" + text(3, "terminating") + list(4, false, entry("s-2", "terminating")) + list(5, false, entry("s-3", "terminating")) + "\n"
-				io.WriteString(c, head)
+				io.WriteString(c, responseHead)
 				for len(all) > 0 {
 					k := min(n, len(all))
 					if _, err := io.WriteString(c, chunk(all[:k])); err != nil {
@@ -250,74 +251,74 @@
 					}
 					all = all[k:]
 				}
-				beat(c, "")
+				sendHeartbeats(c, "")
 			})
-			b := newBed(t, a.l.Addr().String())
-			b.drained("s-1")
-			b.drained("s-3")
-			if b.w.follow.Targets()[0].Name == "" || len(a.calls) != 1 {
-				t.Fatalf("asked %d times", len(a.calls))
+			b := newTestWatch(t, a.listener.Addr().String())
+			b.waitDraining("s-1")
+			b.waitDraining("s-3")
+			if b.watch.follow.Targets()[0].Name == "" || len(a.requests) != 1 {
+				t.Fatalf("%d requests, want 1", len(a.requests))
 			}
 		})
 	}
 }
 
-// When discovery moves, a late list of the old one does not undo what the new one has told, whatever it is; and a new
-// one that says nothing loses nothing of the old one's.
+// When the address of discovery changes, a late list from the old address does not overwrite a list from the new one,
+// and lists from the old address still count while the new one is silent.
 func TestMoves(t *testing.T) {
 	t.Run("a late list", func(t *testing.T) {
-		late, done := make(chan string), make(chan struct{})
+		lateLists, done := make(chan string), make(chan struct{})
 		old := newAgent(t, func(c net.Conn, _ string) {
-			io.WriteString(c, head+chunk("\n"))
-			for text := range late {
+			io.WriteString(c, responseHead+chunk("\n"))
+			for text := range lateLists {
 				io.WriteString(c, chunk(text+"\n"))
 				close(done)
 			}
 		})
-		b := newBed(t, old.l.Addr().String())
-		old.asked(t)
-		next := newAgent(t, answer(list(9, true, entry("s-1", "terminating"))))
-		// The old watch has a list in hand and waits for the lock as the new one's is taken.
-		b.w.mu.Lock()
-		b.w.uses++
-		use := b.w.uses
-		b.w.mu.Unlock()
-		if err := b.w.take([]byte(list(9, true, entry("s-1", "terminating"))), use, true); err != nil {
+		b := newTestWatch(t, old.listener.Addr().String())
+		old.nextRequest(t)
+		next := newAgent(t, serveList(list(9, true, entry("s-1", "terminating"))))
+		// Two watches deliver a list at the same time: the new one takes the lock first, the old one waits for it.
+		b.watch.mu.Lock()
+		b.watch.useCount++
+		use := b.watch.useCount
+		b.watch.mu.Unlock()
+		if err := b.watch.applyList([]byte(list(9, true, entry("s-1", "terminating"))), use, true); err != nil {
 			t.Fatal(err)
 		}
-		b.drained("s-1")
-		if err := b.w.take([]byte(list(8, true, entry("s-1", "in_service"))), 1, false); err != errMoved {
+		b.waitDraining("s-1")
+		if err := b.watch.applyList([]byte(list(8, true, entry("s-1", "in_service"))), 1, false); err != errSuperseded {
 			t.Fatal(err)
 		}
-		if s := b.w.follow.Targets()[0].State; s != logic.Draining {
-			t.Fatal("undone by a late list")
+		if s := b.watch.follow.Targets()[0].State; s != logic.Draining {
+			t.Fatal("a late list from the old address overwrote the new state")
 		}
-		close(late)
-		b.w.Use(next.l.Addr().String())
-		next.asked(t)
+		close(lateLists)
+		b.watch.Use(next.listener.Addr().String())
+		next.nextRequest(t)
 	})
 	t.Run("a silent one", func(t *testing.T) {
 		tell := make(chan string, 1)
 		old := newAgent(t, func(c net.Conn, _ string) {
-			io.WriteString(c, head+chunk("\n"))
+			io.WriteString(c, responseHead+chunk("\n"))
 			for {
 				select {
 				case text := <-tell:
 					io.WriteString(c, chunk(text+"\n"))
-				case <-time.After(often):
+				case <-time.After(heartbeat):
 					if _, err := io.WriteString(c, chunk("\n")); err != nil {
 						return
 					}
 				}
 			}
 		})
-		b := newBed(t, old.l.Addr().String())
-		old.asked(t)
-		next := newAgent(t, hush)
-		b.w.Use(next.l.Addr().String())
-		next.asked(t)
-		next.asked(t) // given up, and asked once more
+		b := newTestWatch(t, old.listener.Addr().String())
+		old.nextRequest(t)
+		next := newAgent(t, staySilent)
+		b.watch.Use(next.listener.Addr().String())
+		next.nextRequest(t)
+		next.nextRequest(t) // the first call was abandoned and repeated
 		tell <- list(2, false, entry("s-1", "terminating"))
-		b.drained("s-1")
+		b.waitDraining("s-1")
 	})
 }
