--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -160,14 +160,14 @@
 func (c *Core) Ended(now logic.Micros, a *Attempt, res Result) {
 	c.tally.Out--
 	if c.host.Ended(&a.Attempt) {
-		c.attemptEnded(now, a, res)
+		c.reportEnd(now, a, res)
 	} else {
 		c.tally.LateEnds++
 	}
 	c.actions = append(c.actions, action{kind: actionDone, attempt: a})
 }
 
-func (c *Core) attemptEnded(now logic.Micros, a *Attempt, res Result) {
+func (c *Core) reportEnd(now logic.Micros, a *Attempt, res Result) {
 	e := a.e
 	e.outstanding = slices.DeleteFunc(e.outstanding, func(x *Attempt) bool { return x == a })
 	c.tally.Outcomes[res.Outcome]++
@@ -217,8 +217,8 @@
 	}
 }
 
-// Room sets the number of requests that may be held at once.
-func (c *Core) Room(requests int) { c.host.Tell(logic.RoomChanged{Room: requests}) }
+// Room sets the number n of requests that may be held at once.
+func (c *Core) Room(n int) { c.host.Tell(logic.RoomChanged{Room: n}) }
 
 // Nodes passes a list of targets, or changes to it, to logic.
 func (c *Core) Nodes(kind logic.ListKind, list []logic.Node) {
@@ -238,7 +238,7 @@
 	for a := c.host.TimedOut(now); a != nil; a = c.host.TimedOut(now) {
 		x := a.Owner.(*Attempt)
 		c.actions = append(c.actions, action{kind: actionDrop, attempt: x})
-		c.attemptEnded(now, x, Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
+		c.reportEnd(now, x, Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
 	}
 	for _, x := range c.host.Run(now) {
 		c.perform(now, x)
