--- a/internal/platform/kill_test.go
+++ b/internal/platform/kill_test.go
@@ -12,7 +12,8 @@
 	"appleplank/internal/http1"
 )
 
-// What a killed process has left in the system's buffers must not reach a target: its client has long asked again.
+// Unsent data of a killed process must not be delivered to a target from the kernel's buffers: the client may have
+// retried by then, so the request would take effect twice.
 func TestKilledProcessSendsNoMore(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -24,11 +25,11 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	target := &standTarget{t: t, l: listener, id: "s-1"}
-	discovery := newDiscovery(t, list(1, true, target.entry("in_service", 0)))
-	p := startProcess(t, discovery.l.Addr().String(), settingsJSON)
+	target := &standInTarget{t: t, listener: listener, id: "s-1"}
+	discovery := newDiscovery(t, listJSON(1, true, target.entry("in_service", 0)))
+	p := startProcess(t, discovery.listener.Addr().String(), settingsJSON)
 	client := p.dial()
-	io.WriteString(client.c, put(newID(), "save", strings.Repeat("x", 60<<10)))
+	io.WriteString(client.conn, putRequest(newID(), "save", strings.Repeat("x", 60<<10)))
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -39,10 +40,10 @@
 	if _, err := io.ReadFull(conn, first); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(300 * time.Millisecond) // the rest is in the system's buffers
+	time.Sleep(300 * time.Millisecond) // the rest of the request is in the kernel's buffers
 	p.kill()
 	m := new(http1.Message)
 	if http1.NewReader(io.MultiReader(strings.NewReader(string(first)), conn)).Request(m) == nil {
-		t.Errorf("the target has the whole request, %d bytes, after its process was killed", len(m.Body))
+		t.Errorf("the target received the whole request of %d bytes after the initiator was killed", len(m.Body))
 	}
 }
--- a/internal/platform/limit_fleet_test.go
+++ b/internal/platform/limit_fleet_test.go
@@ -14,75 +14,75 @@
 	"appleplank/internal/http1"
 )
 
-var limitSeeds = flag.Int("limit-seeds", 1, "how many seeds the limit's test over processes plays")
+var limitSeeds = flag.Int("limit-seeds", 1, "number of seeds for the limit tests with several processes")
 
 const (
-	limitProcesses = 3
-	limitTargets   = 4
-	limitPlays     = 4 * time.Second
+	limitProcesses    = 3
+	limitTargets      = 4
+	limitTestDuration = 4 * time.Second
 )
 
-// Three processes serve one volume; their links to the targets are cut, targets turn away, fail and hang, processes are
-// killed. What reaches the targets holds the limit.
+// Three processes serve one volume while links to targets are blocked, targets refuse, fail and hang, and processes are
+// killed and restarted. The requests that reach the targets stay within the limit.
 func TestLimitHoldsOverProcessesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range *limitSeeds {
-		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { playLimit(t, uint64(seed), limitProcesses) })
+		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { runLimitTest(t, uint64(seed), limitProcesses) })
 	}
 }
 
-// The same with settings of the time when there was one process.
+// The same with settings that still describe a deployment of one process.
 func TestLimitHoldsInAFleetThatHasGrown(t *testing.T) {
 	t.Parallel()
 	for seed := range *limitSeeds {
-		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { playLimit(t, uint64(seed), 1) })
+		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { runLimitTest(t, uint64(seed), 1) })
 	}
 }
 
-// playLimit plays a seed; known is how many processes the settings know of.
-func playLimit(t *testing.T, seed uint64, known int) {
+// runLimitTest runs the test with one seed; known is the number of processes in the settings.
+func runLimitTest(t *testing.T, seed uint64, known int) {
 	audit := newLimitAudit(limitRate, limitBurst, limitSlack)
-	var targets []*standTarget
+	var targets []*standInTarget
 	for cell := range limitTargets {
-		targets = append(targets, troubledTarget(t, audit, fmt.Sprint("s-", cell), rand.New(rand.NewPCG(seed, uint64(100+cell)))))
+		targets = append(targets, faultyTarget(t, audit, fmt.Sprint("s-", cell), rand.New(rand.NewPCG(seed, uint64(100+cell)))))
 	}
 	var processes []*process
-	var ways []*link
+	var links []*link
 	for number := range limitProcesses {
 		settings := strings.Replace(limitedSettings(), `"balancers":1,"slotNo":0`, fmt.Sprintf(`"balancers":%d,"slotNo":%d`, known, number%known), 1)
 		var entries []string
 		for cell, target := range targets {
-			way := newLink(t, target.l.Addr().String())
-			ways = append(ways, way)
+			way := newLink(t, target.listener.Addr().String())
+			links = append(links, way)
 			entries = append(entries, target.entryAt(way.listener.Addr().String(), "in_service", cell))
 		}
-		discovery := newDiscovery(t, list(1, true, entries...))
-		processes = append(processes, startProcess(t, discovery.l.Addr().String(), settings))
+		discovery := newDiscovery(t, listJSON(1, true, entries...))
+		processes = append(processes, startProcess(t, discovery.listener.Addr().String(), settings))
 	}
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
-	for i, way := range ways {
-		wait.Go(func() { troubleLink(way, rand.New(rand.NewPCG(seed, uint64(200+i))), stop) })
+	for i, way := range links {
+		wait.Go(func() { disruptLink(way, rand.New(rand.NewPCG(seed, uint64(200+i))), stop) })
 	}
 	for i := range limitProcesses {
-		wait.Go(func() { surge(processes[i].listen, rand.New(rand.NewPCG(seed, uint64(20+i))), stop) })
+		wait.Go(func() { sendBursts(processes[i].listen, rand.New(rand.NewPCG(seed, uint64(20+i))), stop) })
 	}
 	faults := rand.New(rand.NewPCG(seed, 2))
-	for end := time.Now().Add(limitPlays); time.Now().Before(end); {
+	for end := time.Now().Add(limitTestDuration); time.Now().Before(end); {
 		time.Sleep(time.Duration(faults.IntN(4000)) * time.Millisecond)
 		p := processes[faults.IntN(limitProcesses)]
 		p.kill()
 		time.Sleep(time.Duration(faults.IntN(300)) * time.Millisecond)
-		p.begin()
+		p.start()
 	}
 	close(stop)
 	wait.Wait()
-	audit.check(t, limitRate*limitPlays.Seconds()/10)
-	t.Logf("%g units arrived, the limit's store was at %.2f", audit.units, audit.least)
+	audit.check(t, limitRate*limitTestDuration.Seconds()/10)
+	t.Logf("%g units arrived, the minimum balance of the limit was %.2f", audit.units, audit.minBalance)
 }
 
-// troubledTarget is a target that now and then turns away, fails, or says nothing.
-func troubledTarget(t *testing.T, audit *limitAudit, id string, rng *rand.Rand) *standTarget {
+// faultyTarget returns a target that now and then refuses, fails, does not answer or closes the connection.
+func faultyTarget(t *testing.T, audit *limitAudit, id string, rng *rand.Rand) *standInTarget {
 	var mu sync.Mutex
 	return newTarget(t, id, func(_ int, m *http1.Message) (string, bool) {
 		audit.arrived(string(m.Get("request-id")), unitsOf(m))
@@ -99,16 +99,16 @@
 		case x < 0.16:
 			return "", true
 		}
-		return answerTo(m), false
+		return okAnswer(m), false
 	})
 }
 
-// troubleLink holds a link for up to two seconds, again and again.
-func troubleLink(l *link, rng *rand.Rand, stop <-chan struct{}) {
-	for mode := linkHolds; ; mode = linkHolds - mode {
+// disruptLink blocks a link for up to two seconds, again and again.
+func disruptLink(l *link, rng *rand.Rand, stop <-chan struct{}) {
+	for mode := linkBlocked; ; mode = linkBlocked - mode {
 		select {
 		case <-stop:
-			l.set(linkPasses)
+			l.set(linkOpen)
 			return
 		case <-time.After(time.Duration(rng.IntN(2000)) * time.Millisecond):
 			l.set(mode)
@@ -116,8 +116,9 @@
 	}
 }
 
-// surge asks for many units at once after each quiet time, by clients of different patience that may leave.
-func surge(address string, rng *rand.Rand, stop <-chan struct{}) {
+// sendBursts sends a burst of requests after each quiet time, from clients with different time-outs, some of which
+// leave.
+func sendBursts(address string, rng *rand.Rand, stop <-chan struct{}) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for {
@@ -127,23 +128,23 @@
 		case <-time.After(time.Duration(rng.IntN(1500)) * time.Millisecond):
 		}
 		for range 5 + rng.IntN(25) {
-			units, cell, patience, leaves := 1+rng.IntN(2), rng.IntN(limitTargets), 200+rng.IntN(2000), rng.IntN(10) == 0
-			wait.Go(func() { askOnce(address, units, cell, patience, leaves) })
+			units, cell, timeout, leaves := 1+rng.IntN(2), rng.IntN(limitTargets), 200+rng.IntN(2000), rng.IntN(10) == 0
+			wait.Go(func() { sendOnce(address, units, cell, timeout, leaves) })
 		}
 	}
 }
 
-// askOnce asks on a connection of its own, whatever becomes of the process.
-func askOnce(address string, units, cell, patienceMS int, leaves bool) {
+// sendOnce sends a request on a separate connection and ignores errors, as the process may be killed.
+func sendOnce(address string, units, cell, timeoutMS int, leaves bool) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(time.Minute))
-	io.WriteString(c, limited(newID(), units, cell, limitProcesses, fmt.Sprintf("Request-Timeout: %dm", patienceMS)))
+	io.WriteString(c, limitedRequest(newID(), units, cell, limitProcesses, fmt.Sprintf("Request-Timeout: %dm", timeoutMS)))
 	if leaves {
-		time.Sleep(time.Duration(patienceMS/2) * time.Millisecond)
+		time.Sleep(time.Duration(timeoutMS/2) * time.Millisecond)
 		return
 	}
 	http1.NewReader(c).Answer(new(http1.Message))
--- a/internal/platform/limit_test.go
+++ b/internal/platform/limit_test.go
@@ -10,10 +10,10 @@
 	"appleplank/internal/http1"
 )
 
-// limitedSettings is a deployment whose plan thin has a limit that fills in 1.4 s from its lowest.
+// The limit of the plan thin in limitedSettings: it fills in 1.4 s from its minimum.
 const (
 	limitRate, limitBurst, limitSlack = 10.0, 12.0, 2.0
-	limitFills                        = 1500 * time.Millisecond
+	limitFillTime                     = 1500 * time.Millisecond
 )
 
 func limitedSettings() string {
@@ -22,35 +22,36 @@
 	return strings.Replace(s, `{"name":"look","aimUs":300000,"deadlineUs":2000000`, `{"name":"look","aimUs":8000000,"deadlineUs":8000000`, 1)
 }
 
-// limited is a request of the volume with the limit.
-func limited(id string, units, cell, hosts int, changes ...string) string {
+// limitedRequest returns a request for the volume with the limit.
+func limitedRequest(id string, units, cell, hosts int, changes ...string) string {
 	changes = append([]string{"X-Storage-Class: thin", "Request-Timeout: 8000m",
 		fmt.Sprintf("X-Extent: volume=0000000000000007,units=%d,shard=%d,hosts=%d", units, cell, hosts)}, changes...)
-	return put(id, "look", fmt.Sprintf("units=%d", units), changes...)
+	return putRequest(id, "look", fmt.Sprintf("units=%d", units), changes...)
 }
 
-// audited is a target that tells an audit what reaches it.
-func audited(t *testing.T, id string, audit *limitAudit) *standTarget {
+// auditedTarget returns a target that reports each request it receives to an audit.
+func auditedTarget(t *testing.T, id string, audit *limitAudit) *standInTarget {
 	return newTarget(t, id, func(_ int, m *http1.Message) (string, bool) {
 		audit.arrived(string(m.Get("request-id")), unitsOf(m))
-		return answerTo(m), false
+		return okAnswer(m), false
 	})
 }
 
-// unitsOf reads the size that limited wrote into the body, as the platform's own field is not passed on to targets.
+// unitsOf returns the size of a request. It reads the number that limitedRequest wrote into the body, as the X-Extent
+// header is not passed on to targets.
 func unitsOf(m *http1.Message) (units float64) {
 	fmt.Sscanf(string(m.Body), "units=%g", &units)
 	return units
 }
 
-// askAll asks for single units on connections of their own, all at once, and waits for the answers.
-func askAll(s *stand, requests, cell, hosts int) (served int) {
+// sendAll sends requests of one unit, all at once, each on a separate connection, and waits for the answers.
+func sendAll(s *testInitiator, requests, cell, hosts int) (served int) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	for range requests {
 		p := s.dial()
 		wait.Go(func() {
-			if status, _ := p.ask(limited(newID(), 1, cell, hosts)); status == 200 {
+			if status, _ := p.roundTrip(limitedRequest(newID(), 1, cell, hosts)); status == 200 {
 				mu.Lock()
 				served++
 				mu.Unlock()
@@ -61,29 +62,29 @@
 	return served
 }
 
-// lateFleet is an initiator of its own process with two targets; the way to the one of cell 0 can be held.
-type lateFleet struct {
+// delayedSetup is an initiator in a separate process with two targets. The link to the target of cell 0 can be blocked.
+type delayedSetup struct {
 	*process
 	audit *limitAudit
-	way   *link
+	link  *link
 }
 
-func newLateFleet(t *testing.T) *lateFleet {
+func newDelayedSetup(t *testing.T) *delayedSetup {
 	audit := newLimitAudit(limitRate, limitBurst, limitSlack)
-	far, near := audited(t, "s-1", audit), audited(t, "s-2", audit)
-	way := newLink(t, far.l.Addr().String())
-	discovery := newDiscovery(t, list(1, true, far.entryAt(way.listener.Addr().String(), "in_service", 0), near.entry("in_service", 1)))
-	p := startProcess(t, discovery.l.Addr().String(), limitedSettings())
-	time.Sleep(limitFills)
-	return &lateFleet{p, audit, way}
+	far, near := auditedTarget(t, "s-1", audit), auditedTarget(t, "s-2", audit)
+	link := newLink(t, far.listener.Addr().String())
+	discovery := newDiscovery(t, listJSON(1, true, far.entryAt(link.listener.Addr().String(), "in_service", 0), near.entry("in_service", 1)))
+	p := startProcess(t, discovery.listener.Addr().String(), limitedSettings())
+	time.Sleep(limitFillTime)
+	return &delayedSetup{p, audit, link}
 }
 
-// ask sends a request and gives the status of its answer.
-func (f *lateFleet) ask(request string) <-chan int {
+// send sends a request and returns a channel that receives the status of the answer.
+func (f *delayedSetup) send(request string) <-chan int {
 	p := f.dial()
 	answered := make(chan int, 1)
 	go func() {
-		status, _ := p.ask(request)
+		status, _ := p.roundTrip(request)
 		answered <- status
 	}()
 	return answered
@@ -91,29 +92,29 @@
 
 func TestLimitHoldsAfterARequestArrivedLate(t *testing.T) {
 	t.Parallel()
-	f := newLateFleet(t)
-	f.way.set(linkHolds)
-	late := f.ask(limited(newID(), 8, 0, 1))
+	f := newDelayedSetup(t)
+	f.link.set(linkBlocked)
+	late := f.send(limitedRequest(newID(), 8, 0, 1))
 	time.Sleep(time.Second)
-	f.way.set(linkPasses)
+	f.link.set(linkOpen)
 	if status := <-late; status != 200 {
-		t.Fatalf("the late request: status %d", status)
+		t.Fatalf("the delayed request: status %d", status)
 	}
-	askAll(f.stand, 30, 1, 1)
+	sendAll(f.testInitiator, 30, 1, 1)
 	f.audit.check(t, 10)
 }
 
 func TestLimitHoldsAfterAGivenUpRequestArrived(t *testing.T) {
 	t.Parallel()
-	f := newLateFleet(t)
-	f.way.set(linkHolds)
+	f := newDelayedSetup(t)
+	f.link.set(linkBlocked)
 	id := newID()
-	if status := <-f.ask(limited(id, 8, 0, 1, "Request-Timeout: 400m")); status == 200 {
-		t.Fatal("a request that has not arrived was served")
+	if status := <-f.send(limitedRequest(id, 8, 0, 1, "Request-Timeout: 400m")); status == 200 {
+		t.Fatal("a request that did not arrive at a target was served")
 	}
 	time.Sleep(time.Second)
-	f.way.set(linkPasses)
-	f.until("the request that was given up has arrived", func() bool { return f.audit.has(id) })
-	askAll(f.stand, 30, 1, 1)
+	f.link.set(linkOpen)
+	f.waitFor("arrival of the request that timed out", func() bool { return f.audit.hasArrived(id) })
+	sendAll(f.testInitiator, 30, 1, 1)
 	f.audit.check(t, 10)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform runs appleplank as an initiator of the platform: clients come by its HTTP protocol, targets are
-// reached by the same, discovery tells of them, and package logic decides. It puts the parts together.
+// Package platform runs appleplank as an initiator of the platform. It connects the front, which serves clients over
+// the platform's HTTP protocol, the back, which sends attempts to targets over the same protocol, the watch on
+// discovery, and the core, in which package logic decides.
 package platform
 
 import (
@@ -26,22 +27,26 @@
 )
 
 const (
-	// The platform counts what is refused after half its time and never left as worse than refused.
-	heldPart = 0.5
+	// The platform rates a refusal after half of the request's time, without any attempt sent, as worse than a refusal
+	// before that.
+	heldShare = 0.5
 
 	healthPath = "/_health"
-	// A step of the core begins the settings' tick over stepsPerTick after the one before, at the soonest: a request
-	// waits for less than a service takes, and a crowd costs a bounded part of the core.
+	// Steps of the core that are caused by inputs begin at least a tick of the settings divided by stepsPerTick apart.
+	// A request thus waits for less than its service takes, and a burst of requests uses a bounded share of the
+	// processor.
 	stepsPerTick = 8
-	// A new configuration that cannot be read may be half written: it is looked at again.
-	reloadTries, reloadPause = 5, 100 * time.Millisecond
-	// lookAgain is how often an end that was told is looked at.
-	lookAgain = 5 * time.Millisecond
-	// readyBy is how long discovery is waited for before the list that was known is used.
-	readyBy = time.Second
+	// A new configuration that is invalid may be only half written, so it is read again: maxReloadTries times in all,
+	// with reloadRetryDelay between them.
+	maxReloadTries, reloadRetryDelay = 5, 100 * time.Millisecond
+	// drainPollInterval is the interval at which the end of a shutdown is checked.
+	drainPollInterval = 5 * time.Millisecond
+	// discoveryTimeout is the time after which the initiator reports ready with the list of targets from the
+	// configuration, if discovery has sent nothing.
+	discoveryTimeout = time.Second
 )
 
-// Initiator is one that runs.
+// Initiator is a running initiator.
 type Initiator struct {
 	cfg    *config.Config
 	bounds bounds.Bounds
@@ -53,8 +58,9 @@
 	watch  *discovery.Watch
 }
 
-// New starts an initiator: it listens, and is ready once discovery has told something.
-// Beliefs and what passed on the sockets go to tr, unless it is nil.
+// New starts an initiator with the configuration that the environment names. It listens at once and reports ready when
+// discovery has sent something or discoveryTimeout has passed. The events of the core and of the sockets to targets are
+// traced to tr, unless it is nil.
 func New(env func(string) string, tr *trace.Writer, log *zap.Logger) (*Initiator, error) {
 	cfg, err := config.Load(env)
 	if err != nil {
@@ -62,7 +68,7 @@
 	}
 	b := bounds.For(cfg.Limits.Cores, cfg.Limits.MemoryMB, cfg.Limits.Sockets)
 	s := cfg.Settings
-	cfg.Logic.HeldPart, cfg.Logic.DrawnAtNode, cfg.Logic.ColdByCount = heldPart, true, true
+	cfg.Logic.HeldPart, cfg.Logic.DrawnAtNode, cfg.Logic.ColdByCount = heldShare, true, true
 	c, err := core.New(cfg.Logic, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -88,21 +94,21 @@
 	for i, x := range s.ServiceLevels {
 		service.Plans[x.Name] = i
 	}
-	table := seats.New(seats.Limits{Seats: b.Seats, Open: s.Limits.OpenCap, Held: b.Requests, Bodies: b.Bodies})
-	longest := logic.Micros(0)
+	seatTable := seats.New(seats.Limits{Seats: b.Seats, Open: s.Limits.OpenCap, Held: b.Requests, Bodies: b.Bodies})
+	maxDeadline := logic.Micros(0)
 	for _, x := range cfg.Logic.Classes {
-		longest = max(longest, x.Deadline)
+		maxDeadline = max(maxDeadline, x.Deadline)
 	}
-	in.front = front.New(listener, service, in.shell, table, leave.New(longest), log)
+	in.front = front.New(listener, service, in.shell, seatTable, leave.New(maxDeadline), log)
 	in.watch = discovery.New(cfg.Known, s.Zones, in.shell, in.front.Ready, log)
 	in.watch.Use(cfg.Discovery)
-	time.AfterFunc(readyBy, in.front.Ready)
-	log.Info("an initiator", zap.String("name", cfg.Name), zap.String("listen", cfg.Listen), zap.Any("limits", cfg.Limits),
-		zap.Duration("longest deadline", time.Duration(longest)*time.Microsecond), zap.Int("known targets", len(cfg.Known.Targets)))
+	time.AfterFunc(discoveryTimeout, in.front.Ready)
+	log.Info("initiator started", zap.String("name", cfg.Name), zap.String("listen", cfg.Listen), zap.Any("limits", cfg.Limits),
+		zap.Duration("longest deadline", time.Duration(maxDeadline)*time.Microsecond), zap.Int("known targets", len(cfg.Known.Targets)))
 	return in, nil
 }
 
-// Confine holds the whole process to the limits of the configuration.
+// Confine applies the limits of the configuration to the memory and the threads of the process.
 func (in *Initiator) Confine() {
 	debug.SetMemoryLimit(in.bounds.Heap)
 	if in.bounds.Cores > 0 {
@@ -110,31 +116,33 @@
 	}
 }
 
-// Run serves until the first signal to end, and then until all it holds is answered.
+// Run serves until ctx is done, then drains: it returns once every request is answered. Each signal from reload makes
+// it read the configuration again.
 func (in *Initiator) Run(ctx context.Context, reload <-chan os.Signal) error {
 	served := make(chan error, 1)
 	go func() { served <- in.front.Serve() }()
-	var again, look <-chan time.Time
-	ending := ctx.Done()
+	var retryReload, pollDrain <-chan time.Time
+	shutdown := ctx.Done()
 	tries := 0
 	for {
 		select {
 		case err := <-served:
 			return err
 		case <-reload:
-			again, tries = in.reload(1), 1
-		case <-again:
+			retryReload, tries = in.reload(1), 1
+		case <-retryReload:
 			tries++
-			again = in.reload(tries)
-		case <-ending:
-			// It serves what still comes, and answers all that is held; discovery may move meanwhile too.
-			ending = nil
+			retryReload = in.reload(tries)
+		case <-shutdown:
+			// While it drains it still serves new requests and accepts a new configuration, as the address of discovery
+			// may change meanwhile.
+			shutdown = nil
 			in.log.Info("ending")
 			in.front.Drain()
-			tick := time.NewTicker(lookAgain)
+			tick := time.NewTicker(drainPollInterval)
 			defer tick.Stop()
-			look = tick.C
-		case <-look:
+			pollDrain = tick.C
+		case <-pollDrain:
 			if in.front.Over() {
 				in.close()
 				return nil
@@ -143,11 +151,12 @@
 	}
 }
 
-// reload takes a new configuration, whole or not at all; it gives the time to look at one again that cannot be read.
-func (in *Initiator) reload(try int) (again <-chan time.Time) {
+// reload applies a new configuration, completely or not at all. For one that is invalid it returns a channel that fires
+// when it should be read again, or nil after the last try.
+func (in *Initiator) reload(try int) (retry <-chan time.Time) {
 	cfg, err := config.Load(in.env)
-	if err != nil && try < reloadTries {
-		return time.After(reloadPause)
+	if err != nil && try < maxReloadTries {
+		return time.After(reloadRetryDelay)
 	}
 	if err != nil {
 		in.log.Error("the new configuration is not used, the old one stays", zap.Error(err))
@@ -160,14 +169,14 @@
 	}
 	in.log.Info("a new configuration", zap.String("discovery", cfg.Discovery))
 	if cfg.Limits != in.cfg.Limits || !reflect.DeepEqual(cfg.Settings, in.cfg.Settings) {
-		// Requests that are held were taken by the old ones, and none may be judged partly by each.
+		// Requests that are held were accepted under the old settings; none may be handled partly by each.
 		in.log.Warn("its limits or settings differ from those in use, which hold until the next start")
 	}
 	in.watch.Use(cfg.Discovery)
 	return nil
 }
 
-// close ends what is left once nothing is held any more.
+// close stops all parts. No request is held any more.
 func (in *Initiator) close() {
 	in.watch.Close()
 	in.front.Close()
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -18,7 +18,8 @@
 	"go.uber.org/zap"
 )
 
-// initiatorVariable makes the test binary an initiator, so that tests have real processes.
+// initiatorVariable is the environment variable that makes the test binary run as an initiator, so that tests can start
+// real processes.
 const initiatorVariable = "APPLEPLANK_TEST_INITIATOR"
 
 func TestMain(m *testing.M) {
@@ -39,23 +40,23 @@
 	}
 }
 
-// process is an initiator in a process of its own.
+// process is an initiator in a separate process.
 type process struct {
-	*stand
+	*testInitiator
 	command *exec.Cmd
 }
 
 // startProcess starts an initiator with the given settings and waits until it is ready.
 func startProcess(t testing.TB, discovery, settings string) *process {
 	t.Helper()
-	p := &process{stand: &stand{TB: t, path: filepath.Join(t.TempDir(), "config.json"), listen: free(t), settings: settings}}
-	p.write(discovery)
-	p.begin()
+	p := &process{testInitiator: &testInitiator{TB: t, path: filepath.Join(t.TempDir(), "config.json"), listen: freeAddress(t), settings: settings}}
+	p.writeConfig(discovery)
+	p.start()
 	return p
 }
 
-// begin starts the process, as after a kill.
-func (p *process) begin() {
+// start starts the process, also again after a kill, and waits until it is ready.
+func (p *process) start() {
 	p.Helper()
 	p.command = exec.Command(os.Args[0])
 	p.command.Env = append(os.Environ(), initiatorVariable+"=1", "ROUTER_CONFIG="+p.path)
@@ -64,14 +65,14 @@
 		p.Fatal(err)
 	}
 	p.Cleanup(p.kill)
-	p.until("listening", func() bool {
+	p.waitFor("listening", func() bool {
 		c, err := net.Dial("tcp", p.listen)
 		if err == nil {
 			c.Close()
 		}
 		return err == nil
 	})
-	p.ready()
+	p.waitReady()
 }
 
 // kill ends the process with SIGKILL.
@@ -80,24 +81,24 @@
 	p.command.Wait()
 }
 
-// linkMode is what a link does with new connections, and with bytes to the server.
+// linkMode selects what a link does with bytes to the server.
 type linkMode uint8
 
 const (
-	linkPasses linkMode = iota
-	linkHolds           // connections come up, what is written arrives once the link passes again
+	linkOpen    linkMode = iota
+	linkBlocked          // connections are accepted; bytes to the server arrive once the link is open again
 )
 
-// link is a proxy before a server whose way there can be cut.
+// link is a proxy to a server that can be blocked.
 type link struct {
 	listener net.Listener
 	server   string
 
-	mu     sync.Mutex
-	passes *sync.Cond
-	mode   linkMode
-	ended  bool
-	wait   sync.WaitGroup
+	mu      sync.Mutex
+	opened  *sync.Cond
+	mode    linkMode
+	closed  bool
+	running sync.WaitGroup
 }
 
 func newLink(t testing.TB, server string) *link {
@@ -106,8 +107,8 @@
 		t.Fatal(err)
 	}
 	l := &link{listener: listener, server: server}
-	l.passes = sync.NewCond(&l.mu)
-	l.wait.Go(l.serve)
+	l.opened = sync.NewCond(&l.mu)
+	l.running.Go(l.serve)
 	t.Cleanup(l.close)
 	return l
 }
@@ -115,17 +116,17 @@
 func (l *link) set(mode linkMode) {
 	l.mu.Lock()
 	l.mode = mode
-	l.passes.Broadcast()
+	l.opened.Broadcast()
 	l.mu.Unlock()
 }
 
 func (l *link) close() {
 	l.listener.Close()
 	l.mu.Lock()
-	l.ended = true
-	l.passes.Broadcast()
+	l.closed = true
+	l.opened.Broadcast()
 	l.mu.Unlock()
-	l.wait.Wait()
+	l.running.Wait()
 }
 
 func (l *link) serve() {
@@ -139,64 +140,65 @@
 			client.Close()
 			continue
 		}
-		l.wait.Go(func() { l.carry(server, client, true) })
-		l.wait.Go(func() { l.carry(client, server, false) })
+		l.running.Go(func() { l.forward(server, client, true) })
+		l.running.Go(func() { l.forward(client, server, false) })
 	}
 }
 
-// carry passes bytes on until either side ends; toServer says that the link may hold them.
-func (l *link) carry(to, from net.Conn, toServer bool) {
+// forward copies bytes until either side closes. A blocked link stops them if toServer is set.
+func (l *link) forward(to, from net.Conn, toServer bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && (toServer && !l.pass() || !written(to, buffer[:n])) || err != nil {
+		if n > 0 && (toServer && !l.waitOpen() || !writeAll(to, buffer[:n])) || err != nil {
 			return
 		}
 	}
 }
 
-func written(to io.Writer, bytes []byte) bool {
+func writeAll(to io.Writer, bytes []byte) bool {
 	_, err := to.Write(bytes)
 	return err == nil
 }
 
-// pass waits until the link passes bytes on; false: it has ended.
-func (l *link) pass() bool {
+// waitOpen waits until the link is open; it returns false if the link was closed.
+func (l *link) waitOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.mode == linkHolds && !l.ended {
-		l.passes.Wait()
+	for l.mode == linkBlocked && !l.closed {
+		l.opened.Wait()
 	}
-	return !l.ended
+	return !l.closed
 }
 
-// entryAt is a target's entry in a list, as reached by another address than its own.
-func (s *standTarget) entryAt(address, phase string, cell int) string {
-	return strings.Replace(s.entry(phase, cell), s.l.Addr().String(), address, 1)
+// entryAt returns the list entry of a target with a different address, such as that of a link to it.
+func (s *standInTarget) entryAt(address, phase string, cell int) string {
+	return strings.Replace(s.entry(phase, cell), s.listener.Addr().String(), address, 1)
 }
 
-// limitAudit is the store of a volume's limit as the platform's pages define it, by what reaches targets.
+// limitAudit computes the balance of a volume's limit, as the platform's protocol defines it, from the requests that
+// reach targets.
 type limitAudit struct {
 	rate, burst, slack float64
 
-	mu    sync.Mutex
-	store float64
-	at    time.Time
-	least float64
-	ids   map[string]bool
-	units float64
+	mu         sync.Mutex
+	balance    float64
+	updatedAt  time.Time
+	minBalance float64
+	ids        map[string]bool
+	units      float64
 }
 
-// limitMeasureTime is for how long the slack may grow at the limit's rate, by the protocol page.
+// limitMeasureTime is the time for which the slack may grow at the limit's rate, according to the protocol.
 const limitMeasureTime = 150 * time.Millisecond
 
 func newLimitAudit(rate, burst, slack float64) *limitAudit {
-	return &limitAudit{rate: rate, burst: burst, slack: slack, store: burst, least: burst, at: time.Now(), ids: map[string]bool{}}
+	return &limitAudit{rate: rate, burst: burst, slack: slack, balance: burst, minBalance: burst, updatedAt: time.Now(), ids: map[string]bool{}}
 }
 
-// arrived takes a request's units when its last byte has reached a target first.
+// arrived deducts the units of a request when it first reaches a target completely.
 func (a *limitAudit) arrived(id string, units float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -205,29 +207,29 @@
 	}
 	now := time.Now()
 	a.ids[id] = true
-	a.store = min(a.store+a.rate*now.Sub(a.at).Seconds(), a.burst) - units
-	a.at = now
+	a.balance = min(a.balance+a.rate*now.Sub(a.updatedAt).Seconds(), a.burst) - units
+	a.updatedAt = now
 	a.units += units
-	a.least = min(a.least, a.store)
+	a.minBalance = min(a.minBalance, a.balance)
 }
 
-// has tells whether a request has arrived.
-func (a *limitAudit) has(id string) bool {
+// hasArrived reports whether a request has arrived.
+func (a *limitAudit) hasArrived(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ids[id]
 }
 
-// check fails the test if the store has been further below zero than the limit allows, or fewer units have arrived than
-// the test needs to tell.
+// check fails the test if the balance was further below zero than the limit allows, or if fewer units have arrived than
+// the test needs for a meaningful result.
 func (a *limitAudit) check(t testing.TB, needed float64) {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.units < needed {
-		t.Errorf("%g units arrived, fewer than %g", a.units, needed)
+		t.Errorf("%g units arrived, want at least %g", a.units, needed)
 	}
-	if bound := -a.slack - a.rate*limitMeasureTime.Seconds(); a.least < bound {
-		t.Errorf("the limit's store was at %.2f, its bound is %.2f", a.least, bound)
+	if bound := -a.slack - a.rate*limitMeasureTime.Seconds(); a.minBalance < bound {
+		t.Errorf("the balance of the limit fell to %.2f, below its minimum of %.2f", a.minBalance, bound)
 	}
 }
--- a/internal/platform/standin_test.go
+++ b/internal/platform/standin_test.go
@@ -18,28 +18,29 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// The stand-ins of this file are written from the platform's protocol: targets, a discovery agent, clients.
-
-// standTarget is a target that answers each request as its script says.
-type standTarget struct {
-	t      testing.TB
-	l      net.Listener
-	id     string
-	script func(n int, m *http1.Message) (answer string, end bool) // n counts its requests; an empty answer is silence
-
-	mu    sync.Mutex
-	seen  []string // ids, in order
-	conns map[net.Conn]bool
+// The stand-ins of this file emulate the platform's protocol: targets, a discovery agent, clients.
+
+// standInTarget is an emulated target that answers each request as its script says.
+type standInTarget struct {
+	t        testing.TB
+	listener net.Listener
+	id       string
+	// script answers request n, counted from zero. An empty answer sends nothing; end closes the connection.
+	script func(n int, m *http1.Message) (answer string, end bool)
+
+	mu         sync.Mutex
+	requestIDs []string // in order of arrival
+	conns      map[net.Conn]bool
 }
 
-func newTarget(t testing.TB, id string, script func(int, *http1.Message) (string, bool)) *standTarget {
+func newTarget(t testing.TB, id string, script func(int, *http1.Message) (string, bool)) *standInTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standTarget{t: t, l: l, id: id, script: script, conns: map[net.Conn]bool{}}
+	s := &standInTarget{t: t, listener: l, id: id, script: script, conns: map[net.Conn]bool{}}
 	if script == nil {
-		s.script = func(_ int, m *http1.Message) (string, bool) { return answerTo(m), false }
+		s.script = func(_ int, m *http1.Message) (string, bool) { return okAnswer(m), false }
 	}
 	t.Cleanup(s.stop)
 	go func() {
@@ -57,8 +58,8 @@
 	return s
 }
 
-func (s *standTarget) stop() {
-	s.l.Close()
+func (s *standInTarget) stop() {
+	s.listener.Close()
 	s.mu.Lock()
 	for c := range s.conns {
 		c.Close()
@@ -66,7 +67,7 @@
 	s.mu.Unlock()
 }
 
-func (s *standTarget) serve(c net.Conn) {
+func (s *standInTarget) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -76,8 +77,8 @@
 	r, m := http1.NewReader(c), new(http1.Message)
 	for r.Request(m) == nil {
 		s.mu.Lock()
-		n := len(s.seen)
-		s.seen = append(s.seen, string(m.Get("request-id")))
+		n := len(s.requestIDs)
+		s.requestIDs = append(s.requestIDs, string(m.Get("request-id")))
 		s.mu.Unlock()
 		answer, end := s.script(n, m)
 		if _, err := io.WriteString(c, answer); err != nil || end {
@@ -86,45 +87,45 @@
 	}
 }
 
-func (s *standTarget) count() int {
+func (s *standInTarget) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.seen)
+	return len(s.requestIDs)
 }
 
-// answerTo is the answer made for a request, as only its target can know it.
-func answerTo(m *http1.Message) string {
+// okAnswer returns an answer that contains the request's id and body, so that a mix-up of answers shows.
+func okAnswer(m *http1.Message) string {
 	body := fmt.Sprintf("for %s: %s", m.Get("request-id"), m.Body)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Meter: 12\r\nX-Delta: 3\r\nServer-Load: queue=1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func (s *standTarget) entry(phase string, cell int) string {
+func (s *standInTarget) entry(phase string, cell int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":%d,"phase":%q,"size":1.0,"up_since_ms":0}`,
-		s.id, s.l.Addr(), cell, phase)
+		s.id, s.listener.Addr(), cell, phase)
 }
 
-// standDiscovery is a discovery agent.
-type standDiscovery struct {
-	l       net.Listener
-	mu      sync.Mutex
-	lines   []string
-	whole   string
-	watches []net.Conn
-	asked   []string
-	mute    bool // takes watches and says nothing
+// standInDiscovery is an emulated discovery agent.
+type standInDiscovery struct {
+	listener net.Listener
+	mu       sync.Mutex
+	lines    []string
+	fullList string
+	watches  []net.Conn
+	requests []string
+	silent   bool // accepts watches and sends nothing
 }
 
-func newDiscovery(t testing.TB, whole string) *standDiscovery {
+func newDiscovery(t testing.TB, whole string) *standInDiscovery {
 	return newDiscoveryAt(t, "127.0.0.1:0", whole)
 }
 
-func newDiscoveryAt(t testing.TB, address, whole string) *standDiscovery {
+func newDiscoveryAt(t testing.TB, address, whole string) *standInDiscovery {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &standDiscovery{l: l, whole: whole}
-	t.Cleanup(func() { l.Close(); d.cut() })
+	d := &standInDiscovery{listener: l, fullList: whole}
+	t.Cleanup(func() { l.Close(); d.closeWatches() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -137,7 +138,7 @@
 	return d
 }
 
-func (d *standDiscovery) serve(c net.Conn) {
+func (d *standInDiscovery) serve(c net.Conn) {
 	r, m := http1.NewReader(c), new(http1.Message)
 	if r.Request(m) != nil {
 		c.Close()
@@ -145,32 +146,32 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked = append(d.asked, string(m.Target))
+	d.requests = append(d.requests, string(m.Target))
 	if !strings.Contains(string(m.Target), "watch=1") {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(d.whole), d.whole)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(d.fullList), d.fullList)
 		c.Close()
 		return
 	}
-	if d.watches = append(d.watches, c); d.mute {
+	if d.watches = append(d.watches, c); d.silent {
 		return
 	}
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	chunk(c, d.whole)
+	writeChunk(c, d.fullList)
 }
 
-func chunk(c net.Conn, line string) { fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line) }
+func writeChunk(c net.Conn, line string) { fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// tell sends a line to all watches.
-func (d *standDiscovery) tell(line string) {
+// sendList sends a line to all watches.
+func (d *standInDiscovery) sendList(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.watches {
-		chunk(c, line)
+		writeChunk(c, line)
 	}
 }
 
-// cut ends all watches.
-func (d *standDiscovery) cut() {
+// closeWatches closes the connections of all watches.
+func (d *standInDiscovery) closeWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.watches {
@@ -179,17 +180,17 @@
 	d.watches = nil
 }
 
-func (d *standDiscovery) watching() int {
+func (d *standInDiscovery) requestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.asked)
+	return len(d.requests)
 }
 
-func list(revision int, complete bool, entries ...string) string {
+func listJSON(revision int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(entries, ","))
 }
 
-// settingsJSON is a deployment of one initiator with classes of each kind.
+// settingsJSON is a deployment of one initiator with one class of each kind.
 const settingsJSON = `{"balancers":1,"slotNo":0,"granularityUs":2000,"membershipMode":"automatic","zones":["a","b"],
 "classes":[{"name":"look","aimUs":300000,"deadlineUs":2000000,"importance":3,"lateShare":0.1,"semantics":"retryable"},
 {"name":"save","aimUs":300000,"deadlineUs":2000000,"importance":2,"lateShare":0.1,"semantics":"dedup","group":"cell","repeatWindowUs":4000000},
@@ -201,34 +202,34 @@
 "limits":{"connIdleUs":3000000,"connectTimeoutUs":250000,"maxRetryAfterUs":500000,"retryAfter":true,"secondCopies":true,"sendCap":4,"mayCancel":true,"openCap":5000},
 "report":{"fields":["waiting"]}}`
 
-// stand is an initiator with what it needs.
-type stand struct {
+// testInitiator is an initiator under test, with its configuration file, signals and log.
+type testInitiator struct {
 	testing.TB
-	in     *Initiator
-	path   string
-	listen string
-	known  []string
-	ctl    chan os.Signal
-	end    func()
-	ended  chan error
-	logs   *observer.ObservedLogs
+	initiator *Initiator
+	path      string
+	listen    string
+	known     []string
+	signals   chan os.Signal
+	shutdown  func()
+	exited    chan error
+	logs      *observer.ObservedLogs
 
 	settings string // empty: settingsJSON
 }
 
-func (s *stand) write(discovery string) {
+func (s *testInitiator) writeConfig(discovery string) {
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":128},
 "known":{"revision":0,"complete":true,"members":[%s]},"settings":%s}`, s.listen, discovery, strings.Join(s.known, ","), cmp.Or(s.settings, settingsJSON))
 	if !json.Valid([]byte(text)) {
-		s.Fatal("the test's own configuration is none")
+		s.Fatal("the configuration is not valid JSON")
 	}
 	if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
 		s.Fatal(err)
 	}
 }
 
-// free gives an address that nobody listens on.
-func free(t testing.TB) string {
+// freeAddress returns an address that nobody listens on.
+func freeAddress(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -237,15 +238,15 @@
 	return l.Addr().String()
 }
 
-// peer is a client's connection.
-type peer struct {
-	t testing.TB
-	c net.Conn
-	r *http1.Reader
-	m http1.Message
+// clientConn is the connection of a client.
+type clientConn struct {
+	t       testing.TB
+	conn    net.Conn
+	reader  *http1.Reader
+	message http1.Message
 }
 
-func (s *stand) dial() *peer {
+func (s *testInitiator) dial() *clientConn {
 	s.Helper()
 	c, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -253,23 +254,24 @@
 	}
 	s.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(time.Minute))
-	return &peer{t: s.TB, c: c, r: http1.NewReader(c)}
+	return &clientConn{t: s.TB, conn: c, reader: http1.NewReader(c)}
 }
 
-// ask sends a request and gives the answer's status and body.
-func (p *peer) ask(text string) (int, string) {
+// roundTrip sends a request and returns the status and body of the answer; status 0 means an error, which is in the
+// body.
+func (p *clientConn) roundTrip(text string) (int, string) {
 	p.t.Helper()
-	if _, err := io.WriteString(p.c, text); err != nil {
+	if _, err := io.WriteString(p.conn, text); err != nil {
 		return 0, err.Error()
 	}
-	return p.answer()
+	return p.readAnswer()
 }
 
-func (p *peer) answer() (int, string) {
-	if err := p.r.Answer(&p.m); err != nil {
+func (p *clientConn) readAnswer() (int, string) {
+	if err := p.reader.Answer(&p.message); err != nil {
 		return 0, err.Error()
 	}
-	return p.m.Status, string(p.m.Body)
+	return p.message.Status, string(p.message.Body)
 }
 
 var ids struct {
@@ -284,8 +286,9 @@
 	return fmt.Sprintf("%016x", ids.n)
 }
 
-// put is a request as the platform's clients write it, with changes to its head.
-func put(id, class, body string, changes ...string) string {
+// putRequest returns a request as the platform's clients write it. A change "Name: value" replaces a header, "Name:"
+// removes it.
+func putRequest(id, class, body string, changes ...string) string {
 	head := []string{
 		"Host: api.internal", "Request-Id: " + id, "Request-Class: " + class, "X-Storage-Class: gold", "Request-Timeout: 1500m",
 		fmt.Sprint("Content-Length: ", len(body)), "X-Extent: volume=00000003b4d60021,units=1,shard=0,hosts=1",
@@ -308,30 +311,30 @@
 	return "PUT /" + class + "/7f3a9c21e0b4d655 HTTP/1.1\r\n" + strings.Join(head, "\r\n") + "\r\n\r\n" + body
 }
 
-// start runs an initiator that knows of some targets before it asks discovery.
-func start(t testing.TB, discovery string, known ...string) *stand {
-	s := &stand{TB: t, known: known, path: filepath.Join(t.TempDir(), "config.json"), listen: free(t), ctl: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	s.write(discovery)
+// startInitiator starts an initiator whose configuration lists the known targets.
+func startInitiator(t testing.TB, discovery string, known ...string) *testInitiator {
+	s := &testInitiator{TB: t, known: known, path: filepath.Join(t.TempDir(), "config.json"), listen: freeAddress(t), signals: make(chan os.Signal, 1), exited: make(chan error, 1)}
+	s.writeConfig(discovery)
 	s.run()
 	return s
 }
 
-// ready waits until the initiator says it may be put in use.
-func (s *stand) ready() {
+// waitReady waits until the initiator reports ready.
+func (s *testInitiator) waitReady() {
 	s.Helper()
-	s.until("ready", func() bool {
+	s.waitFor("ready", func() bool {
 		p := s.dial()
-		defer p.c.Close()
-		st, _ := p.ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+		defer p.conn.Close()
+		st, _ := p.roundTrip("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		return st == 200
 	})
 }
 
-func (s *stand) until(what string, f func() bool) {
+func (s *testInitiator) waitFor(what string, f func() bool) {
 	s.Helper()
 	for end := time.Now().Add(15 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.Fatal("never: " + what)
+			s.Fatal("not within 15 s: " + what)
 		}
 	}
 }
