--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -11,12 +11,12 @@
 
 // Attempt is one [logic.Send], tracked until its end is reported to logic.
 type Attempt struct {
-	Request logic.RequestID
-	Number  int // index of the attempt within its request, from zero
-	Node    logic.NodeID
-	Sent    logic.Micros
-	StopAt  logic.Micros // when the attempt times out
-	Owner   any          // set and used by the core only
+	Request  logic.RequestID
+	Number   int // index of the attempt within its request, from zero
+	Node     logic.NodeID
+	Sent     logic.Micros
+	Deadline logic.Micros // when the attempt times out
+	Owner    any          // set and used by the core only
 
 	pending      bool // its end is not reported to logic yet
 	heapPosition int  // index in the deadline heap plus one; 0: not in the heap
@@ -50,8 +50,8 @@
 
 // Bound moves the time-out of an attempt forward to deadline, unless it is due earlier.
 func (h *Host) Bound(a *Attempt, deadline logic.Micros) {
-	if a.StopAt > deadline && a.heapPosition > 0 {
-		a.StopAt = deadline
+	if a.Deadline > deadline && a.heapPosition > 0 {
+		a.Deadline = deadline
 		heap.Fix(&h.attempts, a.heapPosition-1)
 	}
 }
@@ -72,7 +72,7 @@
 // TimedOut stops tracking an attempt whose time-out is due and returns it, or nil if there is none. The caller cancels
 // the attempt and reports its end to logic.
 func (h *Host) TimedOut(now logic.Micros) *Attempt {
-	if len(h.attempts) == 0 || h.attempts[0].StopAt > now {
+	if len(h.attempts) == 0 || h.attempts[0].Deadline > now {
 		return nil
 	}
 	a := h.attempts[0]
@@ -86,7 +86,7 @@
 		return 1
 	}
 	if len(h.attempts) > 0 {
-		at = h.attempts[0].StopAt
+		at = h.attempts[0].Deadline
 	}
 	for _, w := range h.timers {
 		if at == 0 || w.dueAt < at {
@@ -129,7 +129,7 @@
 func (h deadlineHeap) Len() int { return len(h) }
 func (h deadlineHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	return cmp.Or(cmp.Compare(a.StopAt, b.StopAt), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Number, b.Number)) < 0
+	return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Number, b.Number)) < 0
 }
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -473,11 +473,11 @@
 	a := c.newAttempt()
 	op := p.op
 	a.p = p
-	a.drive.Request, a.drive.Number, a.drive.Node, a.drive.Sent, a.drive.StopAt = p.id, p.tries-p.before, s.Node, now, p.dropDead
+	a.drive.Request, a.drive.Number, a.drive.Node, a.drive.Sent, a.drive.Deadline = p.id, p.tries-p.before, s.Node, now, p.dropDead
 	a.reason = c.reason(p)
 	a.volume, a.class, a.asked, p.asked = op.Volume, op.Class, p.asked, 0
 	if s.StopAt > 0 {
-		a.drive.StopAt = min(a.drive.StopAt, s.StopAt)
+		a.drive.Deadline = min(a.drive.Deadline, s.StopAt)
 	}
 	a.Node, a.Kind, a.Len, a.Offset, a.At, a.Key = s.Node, op.Kind, p.len, 0, 0, 0
 	room := true
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -281,9 +281,9 @@
 	}
 	a := c.newAttempt()
 	a.e = e
-	a.Request, a.Number, a.Node, a.Sent, a.StopAt = e.id, e.sendCount, s.Node, now, e.deadline
+	a.Request, a.Number, a.Node, a.Sent, a.Deadline = e.id, e.sendCount, s.Node, now, e.deadline
 	if s.StopAt > 0 {
-		a.StopAt = min(a.StopAt, s.StopAt)
+		a.Deadline = min(a.Deadline, s.StopAt)
 	}
 	a.By = s.By
 	e.sendCount++
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -172,7 +172,7 @@
 // send writes the part of the attempt that the socket takes at once, and starts a goroutine for the rest. It reports
 // false if the connection is broken and nothing was written. A later failure is noticed by the reader.
 func (c *connection) send(now logic.Micros) bool {
-	c.outBuf = insertTimeout(c.outBuf, c.timeoutOffset, c.attempt.StopAt-now)
+	c.outBuf = insertTimeout(c.outBuf, c.timeoutOffset, c.attempt.Deadline-now)
 	n, err := c.conn.TryWrite(c.outBuf)
 	c.sentBytes, c.written = n, n == len(c.outBuf)
 	if !c.written && err == nil {
@@ -322,7 +322,7 @@
 	now := b.sink.Now()
 	if err == nil {
 		// The dial may have taken long. The attempt is only sent if its target is unchanged and its time is not up.
-		if a := c.attempt; b.targets[c.target.Node] != c.target || a.StopAt <= now || a.By > 0 && a.By <= now {
+		if a := c.attempt; b.targets[c.target.Node] != c.target || a.Deadline <= now || a.By > 0 && a.By <= now {
 			c.recalled = true
 		}
 		if c.dropped || c.recalled || b.closed {
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -102,7 +102,7 @@
 func (d *testBack) start(deadline logic.Micros) *core.Attempt { return d.startBody(deadline, "data") }
 
 func (d *testBack) startBody(deadline logic.Micros, body string) *core.Attempt {
-	a := &core.Attempt{Attempt: drive.Attempt{Node: 1, Sent: d.Now(), StopAt: d.Now() + 2*second}, By: deadline}
+	a := &core.Attempt{Attempt: drive.Attempt{Node: 1, Sent: d.Now(), Deadline: d.Now() + 2*second}, By: deadline}
 	r := &core.Request{Method: []byte("PUT"), Target: []byte("/save/7f3a9c21e0b4d655"), ID: []byte("id-1"), Once: []byte("k-1"), Body: []byte(body)}
 	d.back.Start(d.Now(), a, r)
 	for _, b := range [][]byte{r.Method, r.Target, r.ID, r.Once, r.Body} {
@@ -336,7 +336,7 @@
 	}
 	t.Run("in the middle of a long request", func(t *testing.T) {
 		d := newTestBack(t, false)
-		a := &core.Attempt{Attempt: drive.Attempt{Node: 1, StopAt: d.Now() + 2*second}}
+		a := &core.Attempt{Attempt: drive.Attempt{Node: 1, Deadline: d.Now() + 2*second}}
 		body := make([]byte, 16<<20) // more than the socket buffers hold
 		d.back.Start(d.Now(), a, &core.Request{Method: []byte("PUT"), Target: []byte("/x"), ID: []byte("1"), Body: body})
 		c := d.nextConn()
