--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -22,8 +22,8 @@
 	heapPosition int  // index in the deadline heap plus one; 0: not in the heap
 }
 
-// Out reports whether logic still waits for the end of the attempt.
-func (a *Attempt) Out() bool { return a.pending }
+// Pending reports whether logic still waits for the end of the attempt.
+func (a *Attempt) Pending() bool { return a.pending }
 
 // Host is a [logic.Host] together with the events queued for its next step, its attempts in flight and its timers.
 type Host struct {
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -147,7 +147,7 @@
 			a := w.out[i]
 			w.out = append(w.out[:i], w.out[i+1:]...)
 			x := a.Owner.(*attempt)
-			if x.drive.Out() && o != logic.Full && o != logic.Moot && o != logic.ConnectFailed {
+			if x.drive.Pending() && o != logic.Full && o != logic.Moot && o != logic.ConnectFailed {
 				if cl := w.live[x.p.op]; cl != nil {
 					cl.mayHave, cl.pieces[x.p] = true, true
 				}
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -148,7 +148,7 @@
 			c.budget.Back(now, -bytes)
 		}
 		k.reason = a.reason
-		if !a.drive.Out() {
+		if !a.drive.Pending() {
 			k.reason = TooLate
 		}
 	}
