--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -39,8 +39,8 @@
 	token uint32
 }
 
-// Tell queues an event for the next call of Run.
-func (h *Host) Tell(e logic.Event) { h.events = append(h.events, e) }
+// AddEvent queues an event for the next call of Run.
+func (h *Host) AddEvent(e logic.Event) { h.events = append(h.events, e) }
 
 // Sent starts tracking an attempt that logic has asked for.
 func (h *Host) Sent(a *Attempt) {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -311,7 +311,7 @@
 	if p.op.fill != nil { // a queue of its own, so that it yields to the volume's
 		a.Volume, a.Plan = fillVolume|a.Volume, c.cfg.Copies.Plan
 	}
-	c.host.Tell(a)
+	c.host.AddEvent(a)
 }
 
 // Gone says that the client of a request has left. What is out runs on as logic decides.
@@ -331,7 +331,7 @@
 		}
 		p.answered = true
 		if !p.held {
-			c.host.Tell(logic.ClientGone{Request: p.id})
+			c.host.AddEvent(logic.ClientGone{Request: p.id})
 		}
 		c.forget(now, p)
 	}
@@ -376,7 +376,7 @@
 	if p.object != nil {
 		c.objectEnded(a, r.Outcome)
 	}
-	c.host.Tell(logic.AttemptEnded{
+	c.host.AddEvent(logic.AttemptEnded{
 		Request: p.id, Attempt: a.drive.Number, Node: a.Node, Outcome: r.Outcome, Took: now - a.drive.Sent,
 		Settled: r.Outcome == logic.OK || p.answered, Elsewhere: int(r.Elsewhere / p.vol.UnitBytes), Load: r.Load,
 	})
@@ -389,7 +389,7 @@
 // Nodes is news of the nodes.
 func (c *Core) Nodes(now logic.Micros, nodes []logic.Node) {
 	if len(nodes) > 0 {
-		c.host.Tell(logic.NodeList{Kind: logic.ListDelta, Nodes: nodes})
+		c.host.AddEvent(logic.NodeList{Kind: logic.ListDelta, Nodes: nodes})
 		c.zones(now, nodes)
 	}
 }
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -103,7 +103,7 @@
 	if c.trace != nil {
 		c.writeTrace(now, "taken", e.id, 0, 0, fmt.Sprintf("%s:%x:%g:%g", r.ID, r.Volume, r.Units, r.Attached), r.Left, logic.NoLoad)
 	}
-	c.host.Tell(logic.Arrival{
+	c.host.AddEvent(logic.Arrival{
 		Request: e.id, Class: r.Class, Cell: r.Cell, Key: r.Block, Volume: r.Volume, Plan: r.Plan,
 		Attached: r.Attached, Units: r.Units, DropDead: e.deadline,
 	})
@@ -118,7 +118,7 @@
 	}
 	c.tally.Gone++
 	c.writeTrace(now, "gone", e.id, 0, 0, "-", 0, logic.NoLoad)
-	c.host.Tell(logic.ClientGone{Request: e.id})
+	c.host.AddEvent(logic.ClientGone{Request: e.id})
 	c.endRequest(e)
 	return true
 }
@@ -133,7 +133,7 @@
 			c.host.Bound(&a.Attempt, deadline)
 		}
 	}
-	c.host.Tell(logic.Ending{By: deadline})
+	c.host.AddEvent(logic.Ending{By: deadline})
 }
 
 // endRequest returns a request to its front. Nothing more is sent for it: attempts in flight that are not sent
@@ -172,7 +172,7 @@
 	e.outstanding = slices.DeleteFunc(e.outstanding, func(x *Attempt) bool { return x == a })
 	c.tally.Outcomes[res.Outcome]++
 	c.writeTrace(now, "end", e.id, a.Number, a.Node, trace.Words[res.Outcome], now-a.Sent, res.Load)
-	c.host.Tell(logic.AttemptEnded{
+	c.host.AddEvent(logic.AttemptEnded{
 		Request: e.id, Attempt: a.Number, Node: a.Node, Outcome: res.Outcome, Took: now - a.Sent,
 		Settled: res.Outcome == logic.OK || e.request == nil, Used: res.Used, Elsewhere: res.Elsewhere, Load: res.Load,
 	})
@@ -218,11 +218,11 @@
 }
 
 // Room sets the number n of requests that may be held at once.
-func (c *Core) Room(n int) { c.host.Tell(logic.RoomChanged{Room: n}) }
+func (c *Core) Room(n int) { c.host.AddEvent(logic.RoomChanged{Room: n}) }
 
 // Nodes passes a list of targets, or changes to it, to logic.
 func (c *Core) Nodes(kind logic.ListKind, list []logic.Node) {
-	c.host.Tell(logic.NodeList{Kind: kind, Nodes: list})
+	c.host.AddEvent(logic.NodeList{Kind: kind, Nodes: list})
 }
 
 // Next returns the time by which step must be called; 0 means not before another input arrives.
