--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -42,8 +42,8 @@
 // AddEvent queues an event for the next call of Run.
 func (h *Host) AddEvent(e logic.Event) { h.events = append(h.events, e) }
 
-// Sent starts tracking an attempt that logic has asked for.
-func (h *Host) Sent(a *Attempt) {
+// Track starts tracking an attempt that logic has asked for.
+func (h *Host) Track(a *Attempt) {
 	a.pending = true
 	heap.Push(&h.attempts, a)
 }
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -525,7 +525,7 @@
 		}
 		a.Buffer = block.NewBuffer(p.len, p.vol.memory.Release)
 	}
-	c.host.Sent(&a.drive)
+	c.host.Track(&a.drive)
 	c.out = append(c.out, Action{Kind: Start, Attempt: &a.Attempt, Op: op})
 }
 
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -293,7 +293,7 @@
 	if c.trace != nil {
 		c.writeTrace(now, "send", e.id, a.Number, a.Node, c.limitShareText(e.volume), 0, logic.NoLoad)
 	}
-	c.host.Sent(&a.Attempt)
+	c.host.Track(&a.Attempt)
 	c.actions = append(c.actions, action{kind: actionStart, attempt: a, request: e.request})
 }
 
