--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -48,8 +48,8 @@
 	heap.Push(&h.attempts, a)
 }
 
-// Bound moves the time-out of an attempt forward to deadline, unless it is due earlier.
-func (h *Host) Bound(a *Attempt, deadline logic.Micros) {
+// ShortenDeadline moves the time-out of an attempt forward to deadline, unless it is due earlier.
+func (h *Host) ShortenDeadline(a *Attempt, deadline logic.Micros) {
 	if a.Deadline > deadline && a.heapPosition > 0 {
 		a.Deadline = deadline
 		heap.Fix(&h.attempts, a.heapPosition-1)
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -130,7 +130,7 @@
 	for _, e := range c.entries {
 		e.deadline = min(e.deadline, deadline)
 		for _, a := range e.outstanding {
-			c.host.Bound(&a.Attempt, deadline)
+			c.host.ShortenDeadline(&a.Attempt, deadline)
 		}
 	}
 	c.host.AddEvent(logic.Ending{By: deadline})
