--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Ended stops tracking an attempt. It returns false if an end of the attempt was already taken, so that each is
+// MarkEnded stops tracking an attempt. It returns false if an end of the attempt was already taken, so that each is
 // reported to logic only once.
-func (h *Host) Ended(a *Attempt) bool {
+func (h *Host) MarkEnded(a *Attempt) bool {
 	if !a.pending {
 		return false
 	}
@@ -76,7 +76,7 @@
 		return nil
 	}
 	a := h.attempts[0]
-	h.Ended(a)
+	h.MarkEnded(a)
 	return a
 }
 
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -341,7 +341,7 @@
 func (c *Core) Ended(now logic.Micros, b *block.Attempt, r block.Result) {
 	a := b.Owner.(*attempt)
 	c.crossed(now, a, r)
-	if c.host.Ended(&a.drive) {
+	if c.host.MarkEnded(&a.drive) {
 		c.tell(now, a, r)
 	} else {
 		c.tally.LateEnds++
