--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -69,9 +69,9 @@
 	return true
 }
 
-// TimedOut stops tracking an attempt whose time-out is due and returns it, or nil if there is none. The caller cancels
+// PopExpired stops tracking an attempt whose time-out is due and returns it, or nil if there is none. The caller cancels
 // the attempt and reports its end to logic.
-func (h *Host) TimedOut(now logic.Micros) *Attempt {
+func (h *Host) PopExpired(now logic.Micros) *Attempt {
 	if len(h.attempts) == 0 || h.attempts[0].Deadline > now {
 		return nil
 	}
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -416,7 +416,7 @@
 
 // Step lets all that has happened by now take its effect. The actions are valid until the next Step.
 func (c *Core) Step(now logic.Micros) []Action {
-	for due := c.host.TimedOut(now); due != nil; due = c.host.TimedOut(now) {
+	for due := c.host.PopExpired(now); due != nil; due = c.host.PopExpired(now) {
 		a := due.Owner.(*attempt)
 		c.out = append(c.out, Action{Kind: Drop, Attempt: &a.Attempt})
 		c.tell(now, a, block.Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -235,7 +235,7 @@
 
 // step processes the inputs and time-outs up to now. The returned actions are valid until the next call.
 func (c *Core) step(now logic.Micros) []action {
-	for a := c.host.TimedOut(now); a != nil; a = c.host.TimedOut(now) {
+	for a := c.host.PopExpired(now); a != nil; a = c.host.PopExpired(now) {
 		x := a.Owner.(*Attempt)
 		c.actions = append(c.actions, action{kind: actionDrop, attempt: x})
 		c.reportEnd(now, x, Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
