--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -120,8 +120,8 @@
 	return h.actions
 }
 
-// Held returns the number of attempts that logic waits for and the number of timers that are set.
-func (h *Host) Held() (attempts, wakes int) { return len(h.attempts), len(h.timers) }
+// Pending returns the number of attempts that logic waits for and the number of timers that are set.
+func (h *Host) Pending() (attempts, wakes int) { return len(h.attempts), len(h.timers) }
 
 // deadlineHeap is a heap of attempts, ordered by the time at which they time out.
 type deadlineHeap []*Attempt
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -207,7 +207,7 @@
 		}
 		w.pass(1_000_000)
 		tally := core.Tally()
-		due, _ := core.host.Held()
+		due, _ := core.host.Pending()
 		if tally.Ops != 0 || tally.Pieces != 0 || tally.Out != 0 || tally.Attempts != 0 || w.bytes != 0 || due != 0 {
 			t.Fatalf("left behind: %+v, %d bytes, %d timers", tally, w.bytes, due)
 		}
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -157,7 +157,7 @@
 			}
 		}
 		tally := c.Tally()
-		attempts, _ := c.host.Held()
+		attempts, _ := c.host.Pending()
 		if tally.Held != 0 || tally.Entries != 0 || tally.Out != 0 || attempts != 0 {
 			t.Fatalf("seed %d: held at the end: %+v, %d attempts", seed, tally, attempts)
 		}
