--- a/internal/drive/loop.go
+++ b/internal/drive/loop.go
@@ -63,8 +63,8 @@
 	l.runPending()
 }
 
-// With calls f while no step runs.
-func (l *Loop[T]) With(f func(now logic.Micros)) {
+// WithLock calls f while no step runs.
+func (l *Loop[T]) WithLock(f func(now logic.Micros)) {
 	l.mu.Lock()
 	f(l.now())
 	l.mu.Unlock()
--- a/internal/drive/loop_test.go
+++ b/internal/drive/loop_test.go
@@ -40,7 +40,7 @@
 		posters.Wait()
 		for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			got := 0
-			if l.With(func(logic.Micros) { got = sum }); got == 40000 {
+			if l.WithLock(func(logic.Micros) { got = sum }); got == 40000 {
 				break
 			}
 		}
@@ -103,7 +103,7 @@
 	})
 	defer l.Close()
 	l.Post(1)
-	l.With(func(logic.Micros) { time.Sleep(40 * time.Millisecond) }) // delays the step that is due
+	l.WithLock(func(logic.Micros) { time.Sleep(40 * time.Millisecond) }) // delays the step that is due
 	for deadline := time.Now().Add(10 * time.Second); l.Late.Load() == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
 	if n, by := l.Late.Load(), l.LateBy.Load(); n == 0 || by < 20_000 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -88,13 +88,13 @@
 
 // RememberMark gives the engine a mark of an earlier process, before anything is brought.
 func (e *Engine) RememberMark(m Mark) (err error) {
-	e.loop.With(func(logic.Micros) { err = e.core.RememberMark(m) })
+	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberMark(m) })
 	return err
 }
 
 // TakeSpace marks what an object lies on as used, before anything is brought.
 func (e *Engine) TakeSpace(volume int, at, n int64) (err error) {
-	e.loop.With(func(logic.Micros) { err = e.core.TakeSpace(volume, at, n) })
+	e.loop.WithLock(func(logic.Micros) { err = e.core.TakeSpace(volume, at, n) })
 	return err
 }
 
@@ -105,13 +105,13 @@
 
 // Space tells the free and used bytes of a volume of objects.
 func (e *Engine) Space(volume int) (free, used int64) {
-	e.loop.With(func(now logic.Micros) { free, used = e.core.Space(now, volume) })
+	e.loop.WithLock(func(now logic.Micros) { free, used = e.core.Space(now, volume) })
 	return free, used
 }
 
 // Mirrors tells how the copies of mirrored extents are.
 func (e *Engine) Mirrors() (m []Mirrored) {
-	e.loop.With(func(logic.Micros) { m = e.core.Mirrors() })
+	e.loop.WithLock(func(logic.Micros) { m = e.core.Mirrors() })
 	return m
 }
 
@@ -139,7 +139,7 @@
 // Remember gives the engine what an earlier process has learned, before anything is brought. Rest is set where that
 // process may have left attempts at nodes.
 func (e *Engine) Remember(m *logic.Memory, rest bool) (err error) {
-	e.loop.With(func(now logic.Micros) {
+	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
 			e.core.Rest(now)
 		}
@@ -152,37 +152,37 @@
 
 // Crossing tells what crossed and what is left of the budget.
 func (e *Engine) Crossing() (rows []Crossed, m crossing.Memory) {
-	e.loop.With(func(now logic.Micros) { rows, m = e.core.Crossing(now) })
+	e.loop.WithLock(func(now logic.Micros) { rows, m = e.core.Crossing(now) })
 	return rows, m
 }
 
 // RememberCrossing gives the engine what an earlier process has counted and left, before anything is brought.
 func (e *Engine) RememberCrossing(rows []Crossed, m *crossing.Memory, age logic.Micros) (err error) {
-	e.loop.With(func(logic.Micros) { err = e.core.RememberCrossing(rows, m, age) })
+	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberCrossing(rows, m, age) })
 	return err
 }
 
 // Quiet tells whether nothing is held, and nothing that was sent may still run at a node.
 func (e *Engine) Quiet() (quiet bool) {
-	e.loop.With(func(logic.Micros) { quiet = e.core.Quiet() })
+	e.loop.WithLock(func(logic.Micros) { quiet = e.core.Quiet() })
 	return quiet
 }
 
 // Learned copies what has been learned, and the time of it.
 func (e *Engine) Learned() (m logic.Memory, now logic.Micros) {
-	e.loop.With(func(at logic.Micros) { m, now = e.core.Learned(at), at })
+	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Learned(at), at })
 	return m, now
 }
 
 // Tally tells the counts so far.
 func (e *Engine) Tally() (t Tally) {
-	e.loop.With(func(logic.Micros) { t = e.core.Tally() })
+	e.loop.WithLock(func(logic.Micros) { t = e.core.Tally() })
 	return t
 }
 
 // Drained waits until nothing is held any more, or ctx ends. Fronts must have stopped taking.
 func (e *Engine) Drained(ctx context.Context) error {
-	e.loop.With(func(logic.Micros) {
+	e.loop.WithLock(func(logic.Micros) {
 		e.cold = true
 		e.core.Still()
 	})
