--- a/internal/drive/loop.go
+++ b/internal/drive/loop.go
@@ -71,8 +71,8 @@
 	l.runPending()
 }
 
-// Kick runs a step even if no input is queued.
-func (l *Loop[T]) Kick() {
+// ForceStep runs a step even if no input is queued.
+func (l *Loop[T]) ForceStep() {
 	l.stepDue.Store(true)
 	l.runPending()
 }
--- a/internal/drive/loop_test.go
+++ b/internal/drive/loop_test.go
@@ -59,7 +59,7 @@
 	l := NewLoop(newClock(), 0, func(logic.Micros, []int) logic.Micros { return 0 })
 	l.Close()
 	done := make(chan struct{})
-	go func() { l.Kick(); l.Post(1); close(done) }()
+	go func() { l.ForceStep(); l.Post(1); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -186,7 +186,7 @@
 		e.cold = true
 		e.core.Still()
 	})
-	e.loop.Kick()
+	e.loop.ForceStep()
 	select {
 	case <-e.idle:
 		return nil
