--- a/internal/drive/loop.go
+++ b/internal/drive/loop.go
@@ -29,7 +29,7 @@
 	intervalTimerSet atomic.Bool // intervalTimer is running
 	intervalTimer    *time.Timer
 	Steps            atomic.Uint64
-	Late             atomic.Uint64 // steps that began more than lateThreshold after their timer was due
+	LateSteps        atomic.Uint64 // steps that began more than lateThreshold after their timer was due
 	LateBy           atomic.Int64  // maximum delay of a timer, in Micros
 }
 
@@ -123,7 +123,7 @@
 		if l.stepDue.Swap(false) && l.timerDueAt > 0 {
 			late := int64(now - l.timerDueAt)
 			if late > lateThreshold {
-				l.Late.Add(1)
+				l.LateSteps.Add(1)
 			}
 			if late > l.LateBy.Load() {
 				l.LateBy.Store(late)
