--- a/internal/drive/loop.go
+++ b/internal/drive/loop.go
@@ -30,7 +30,7 @@
 	intervalTimer    *time.Timer
 	Steps            atomic.Uint64
 	LateSteps        atomic.Uint64 // steps that began more than lateThreshold after their timer was due
-	LateBy           atomic.Int64  // maximum delay of a timer, in Micros
+	MaxDelay         atomic.Int64  // maximum delay of a timer, in Micros
 }
 
 // lateThreshold is the delay, in Micros, above which a step counts as late: two of the platform's shortest ticks.
@@ -125,8 +125,8 @@
 			if late > lateThreshold {
 				l.LateSteps.Add(1)
 			}
-			if late > l.LateBy.Load() {
-				l.LateBy.Store(late)
+			if late > l.MaxDelay.Load() {
+				l.MaxDelay.Store(late)
 			}
 			l.timerDueAt = 0
 		}
--- a/internal/drive/loop_test.go
+++ b/internal/drive/loop_test.go
@@ -106,7 +106,7 @@
 	l.WithLock(func(logic.Micros) { time.Sleep(40 * time.Millisecond) }) // delays the step that is due
 	for deadline := time.Now().Add(10 * time.Second); l.LateSteps.Load() == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 	}
-	if n, by := l.LateSteps.Load(), l.LateBy.Load(); n == 0 || by < 20_000 {
+	if n, by := l.LateSteps.Load(), l.MaxDelay.Load(); n == 0 || by < 20_000 {
 		t.Errorf("%d steps late, by at most %d us; want at least one, by 20 ms or more", n, by)
 	}
 }
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -95,7 +95,7 @@
 // Tally returns the counts so far.
 func (s *Shell) Tally() (t Tally, steps Steps) {
 	s.loop.WithLock(func(logic.Micros) { t = s.core.Tally() })
-	return t, Steps{s.loop.Steps.Load(), s.loop.LateSteps.Load(), logic.Micros(s.loop.LateBy.Load())}
+	return t, Steps{s.loop.Steps.Load(), s.loop.LateSteps.Load(), logic.Micros(s.loop.MaxDelay.Load())}
 }
 
 // Close stops the timers of the shell.
