--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -285,7 +285,7 @@
 	if s.StopAt > 0 {
 		a.Deadline = min(a.Deadline, s.StopAt)
 	}
-	a.By = s.By
+	a.SendDeadline = s.By
 	e.sendCount++
 	e.outstanding = append(e.outstanding, a)
 	c.tally.Sends++
--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -48,8 +48,8 @@
 // Attempt is one send of a request. It is valid from [Back].Start until [Back].Done.
 type Attempt struct {
 	drive.Attempt
-	By   logic.Micros // it must be sent completely by then, or not at all; 0: no bound
-	Conn any          // set and used by the back only
+	SendDeadline logic.Micros // it must be sent completely by then, or not at all; 0: no bound
+	Conn         any          // set and used by the back only
 
 	e *entry
 }
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -322,7 +322,7 @@
 	now := b.sink.Now()
 	if err == nil {
 		// The dial may have taken long. The attempt is only sent if its target is unchanged and its time is not up.
-		if a := c.attempt; b.targets[c.target.Node] != c.target || a.Deadline <= now || a.By > 0 && a.By <= now {
+		if a := c.attempt; b.targets[c.target.Node] != c.target || a.Deadline <= now || a.SendDeadline > 0 && a.SendDeadline <= now {
 			c.recalled = true
 		}
 		if c.dropped || c.recalled || b.closed {
