--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -8,8 +8,8 @@
 // Request is a client's request. The core uses it from the time its front submits it until it is answered or its client
 // has left; the front must not change the contents of its slices until then.
 type Request struct {
-	Method, Target, ID, Once []byte // Once is the idempotency key by which targets detect repeated requests
-	Body                     []byte
+	Method, Target, ID, IdempotencyKey []byte // Once is the idempotency key by which targets detect repeated requests
+	Body                               []byte
 
 	Class, Plan, Cell int
 	Block             uint64
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -517,7 +517,7 @@
 				key = "key-" + id
 			}
 			if r.Class != want.Class || r.Plan != want.Plan || r.Cell != want.Cell || r.Block != want.Block || r.Volume != want.Volume ||
-				r.Attached != want.Attached || r.Units != want.Units || r.Left != want.Left || string(r.Once) != key ||
+				r.Attached != want.Attached || r.Units != want.Units || r.Left != want.Left || string(r.IdempotencyKey) != key ||
 				!bytes.Equal(r.Body, []byte(strings.Repeat(id+".", 1+i*7%400))) {
 				t.Errorf("%s: %+v", id, r)
 			}
--- a/internal/platform/target/message.go
+++ b/internal/platform/target/message.go
@@ -40,9 +40,9 @@
 	b = append(b, host...)
 	b = append(b, "\r\nRequest-Id: "...)
 	b = append(b, r.ID...)
-	if len(r.Once) > 0 {
+	if len(r.IdempotencyKey) > 0 {
 		b = append(b, "\r\nIdempotency-Key: "...)
-		b = append(b, r.Once...)
+		b = append(b, r.IdempotencyKey...)
 	}
 	b = append(b, "\r\nRequest-Timeout: "...)
 	timeoutOffset = len(b)
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -103,9 +103,9 @@
 
 func (d *testBack) startBody(deadline logic.Micros, body string) *core.Attempt {
 	a := &core.Attempt{Attempt: drive.Attempt{Node: 1, Sent: d.Now(), Deadline: d.Now() + 2*second}, SendDeadline: deadline}
-	r := &core.Request{Method: []byte("PUT"), Target: []byte("/save/7f3a9c21e0b4d655"), ID: []byte("id-1"), Once: []byte("k-1"), Body: []byte(body)}
+	r := &core.Request{Method: []byte("PUT"), Target: []byte("/save/7f3a9c21e0b4d655"), ID: []byte("id-1"), IdempotencyKey: []byte("k-1"), Body: []byte(body)}
 	d.back.Start(d.Now(), a, r)
-	for _, b := range [][]byte{r.Method, r.Target, r.ID, r.Once, r.Body} {
+	for _, b := range [][]byte{r.Method, r.Target, r.ID, r.IdempotencyKey, r.Body} {
 		copy(b, "################################") // the request is only valid during the call
 	}
 	return a
