--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -92,7 +92,7 @@
 func (c *Core) Take(now logic.Micros, r *Request) {
 	c.lastID++
 	e := c.newEntry()
-	*e = entry{id: c.lastID, request: r, volume: r.Volume, units: r.Units, deadline: now + r.Left, outstanding: e.outstanding[:0]}
+	*e = entry{id: c.lastID, request: r, volume: r.Volume, units: r.Units, deadline: now + r.Timeout, outstanding: e.outstanding[:0]}
 	if c.shutdownDeadline > 0 {
 		e.deadline = min(e.deadline, c.shutdownDeadline)
 	}
@@ -101,7 +101,7 @@
 	c.tally.Taken++
 	c.tally.Held++
 	if c.trace != nil {
-		c.writeTrace(now, "taken", e.id, 0, 0, fmt.Sprintf("%s:%x:%g:%g", r.ID, r.Volume, r.Units, r.Attached), r.Left, logic.NoLoad)
+		c.writeTrace(now, "taken", e.id, 0, 0, fmt.Sprintf("%s:%x:%g:%g", r.ID, r.Volume, r.Units, r.Attached), r.Timeout, logic.NoLoad)
 	}
 	c.host.AddEvent(logic.Arrival{
 		Request: e.id, Class: r.Class, Cell: r.Cell, Key: r.Block, Volume: r.Volume, Plan: r.Plan,
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -96,8 +96,8 @@
 			if rng.IntN(3) == 0 && len(all) < 700 {
 				x := &clientRequest{recorder: recorder{t: t}}
 				x.Request = Request{Class: rng.IntN(3), Plan: rng.IntN(2), Cell: rng.IntN(3) - 1, Block: rng.Uint64N(50), Volume: logic.VolumeID(rng.Uint64N(20)),
-					Attached: 1, Units: float64(1 + rng.IntN(6)), Left: logic.Micros(1 + rng.Int64N(1_500_000)), Front: &x.recorder}
-				x.deadline = now + x.Left
+					Attached: 1, Units: float64(1 + rng.IntN(6)), Timeout: logic.Micros(1 + rng.Int64N(1_500_000)), Front: &x.recorder}
+				x.deadline = now + x.Timeout
 				all, open = append(all, x), append(open, x)
 				c.Take(now, &x.Request)
 			}
@@ -176,7 +176,7 @@
 	outstanding := map[*Attempt]*sentAttempt{}
 	submit := func(i int) {
 		fronts[i] = &recorder{t: t}
-		c.Take(now, &Request{Class: 1, Plan: 1, Attached: 1, Units: 1, Left: 25_000_000, Volume: logic.VolumeID(i), Front: fronts[i]})
+		c.Take(now, &Request{Class: 1, Plan: 1, Attached: 1, Units: 1, Timeout: 25_000_000, Volume: logic.VolumeID(i), Front: fronts[i]})
 		runSteps(c, now, outstanding)
 	}
 	for i := range 8 { // some are sent to a target that never answers, others wait
@@ -209,7 +209,7 @@
 	now := logic.Micros(1_000_000_000)
 	c.Nodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
 	front := &recorder{t: t}
-	r := &Request{Class: 0, Plan: 1, Attached: 1, Units: 1, Left: 50_000, Front: front}
+	r := &Request{Class: 0, Plan: 1, Attached: 1, Units: 1, Timeout: 50_000, Front: front}
 	c.Take(now, r)
 	outstanding := map[*Attempt]*sentAttempt{}
 	runSteps(c, now, outstanding)
--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -15,7 +15,7 @@
 	Block             uint64
 	Volume            logic.VolumeID
 	Attached, Units   float64
-	Left              logic.Micros // how long the client waits, from the request's last byte on
+	Timeout           logic.Micros // how long the client waits, from the request's last byte on
 	Front             Front
 
 	entry *entry
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -352,11 +352,11 @@
 		f.tally.Left++
 		return nil, true
 	}
-	timeLeft, ok := f.shutdown.Admit(now, c.request.Left)
+	timeLeft, ok := f.shutdown.Admit(now, c.request.Timeout)
 	if !ok || f.closing {
 		return &rejectError{503, "ending"}, false
 	}
-	c.request.Left = max(min(timeLeft, c.request.Left-c.readDelay), 1)
+	c.request.Timeout = max(min(timeLeft, c.request.Timeout-c.readDelay), 1)
 	if _, duplicate := f.openIDs[idHash]; duplicate {
 		return &rejectError{409, "a request with that id is open"}, false
 	}
--- a/internal/platform/front/front_test.go
+++ b/internal/platform/front/front_test.go
@@ -422,7 +422,7 @@
 	u.expectAnswer(200)
 	users["early"].send(putRequest("early1", "x"))
 	r := b.nextTaken()
-	if r.Left > by-b.Now() {
+	if r.Timeout > by-b.Now() {
 		t.Fatal("the request may take longer than the shutdown allows")
 	}
 	b.answerOK(r, "still")
@@ -511,13 +511,13 @@
 			}
 			id := string(r.ID)
 			want := core.Request{Class: (n + i) % 2, Plan: (n/2 + i) % 2, Cell: i % 4, Block: uint64(n*1000 + i), Volume: logic.VolumeID(7000 + n),
-				Attached: float64(1 + n%3), Units: float64(1 + i%5), Left: logic.Micros(1000+n) * 1000}
+				Attached: float64(1 + n%3), Units: float64(1 + i%5), Timeout: logic.Micros(1000+n) * 1000}
 			key := ""
 			if want.Class == 1 {
 				key = "key-" + id
 			}
 			if r.Class != want.Class || r.Plan != want.Plan || r.Cell != want.Cell || r.Block != want.Block || r.Volume != want.Volume ||
-				r.Attached != want.Attached || r.Units != want.Units || r.Left != want.Left || string(r.IdempotencyKey) != key ||
+				r.Attached != want.Attached || r.Units != want.Units || r.Timeout != want.Timeout || string(r.IdempotencyKey) != key ||
 				!bytes.Equal(r.Body, []byte(strings.Repeat(id+".", 1+i*7%400))) {
 				t.Errorf("%s: %+v", id, r)
 			}
--- a/internal/platform/front/request.go
+++ b/internal/platform/front/request.go
@@ -87,7 +87,7 @@
 		return &rejectError{400, "idempotency-key cannot be read"}
 	}
 	r.Method, r.Target, r.ID, r.IdempotencyKey, r.Body = m.Method, m.Target, id, idempotencyKey, m.Body
-	r.Class, r.Plan, r.Block, r.Left = class, plan, block, timeout
+	r.Class, r.Plan, r.Block, r.Timeout = class, plan, block, timeout
 	return s.parseExtent(m.Get("x-extent"), r)
 }
 
