--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -32,11 +32,11 @@
 
 // Answer is the final answer to a request. Each request gets one.
 type Answer struct {
-	Verdict  Verdict
-	Body     []byte       // served: the body of the target's answer
-	Kept     bool         // the body stays valid; otherwise only until Front.Answer returns
-	CoolDown logic.Micros // refused: after which a retry may succeed; 0: unknown
-	Limited  bool         // refused: the plan's limit is used up
+	Verdict    Verdict
+	Body       []byte       // served: the body of the target's answer
+	BodyStable bool         // the body stays valid; otherwise only until Front.Answer returns
+	CoolDown   logic.Micros // refused: after which a retry may succeed; 0: unknown
+	Limited    bool         // refused: the plan's limit is used up
 }
 
 // Front is the source of requests. Answer delivers the final answer to one of its requests and hands the request back
--- a/internal/platform/front/front.go
+++ b/internal/platform/front/front.go
@@ -458,13 +458,13 @@
 	c.outBuf = appendHead(c.outBuf[:0], a, closeAfter)
 	var unsent []byte
 	n, err := 0, error(nil)
-	if !a.Kept {
+	if !a.BodyStable {
 		c.outBuf = append(c.outBuf, a.Body...)
 	}
-	if n, err = c.conn.TryWrite(c.outBuf); err == nil && n == len(c.outBuf) && a.Kept {
+	if n, err = c.conn.TryWrite(c.outBuf); err == nil && n == len(c.outBuf) && a.BodyStable {
 		n, err = c.conn.TryWrite(a.Body)
 		unsent = a.Body[n:]
-	} else if a.Kept {
+	} else if a.BodyStable {
 		unsent = append(append(unsent, c.outBuf[n:]...), a.Body...)
 	} else {
 		unsent = append(unsent, c.outBuf[n:]...)
