--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -177,7 +177,7 @@
 		Settled: res.Outcome == logic.OK || e.request == nil, Used: res.Used, Elsewhere: res.Elsewhere, Load: res.Load,
 	})
 	if res.Outcome == logic.OK && e.request != nil {
-		c.answerRequest(now, e, Answer{Verdict: Served, Body: res.Body, BodyStable: res.Kept})
+		c.answerRequest(now, e, Answer{Verdict: Served, Body: res.Body, BodyStable: res.BodyStable})
 	}
 	c.removeIfFinished(e)
 }
--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -56,12 +56,12 @@
 
 // Result describes how an attempt ended.
 type Result struct {
-	Outcome   logic.Outcome
-	Used      int // as in [logic.AttemptEnded]
-	Elsewhere int
-	Load      logic.Load
-	Body      []byte // of an answer; valid until [Back].Done
-	Kept      bool   // the body stays valid after Done
+	Outcome    logic.Outcome
+	Used       int // as in [logic.AttemptEnded]
+	Elsewhere  int
+	Load       logic.Load
+	Body       []byte // of an answer; valid until [Back].Done
+	BodyStable bool   // the body stays valid after Done
 }
 
 // Back sends attempts to targets. Its methods are called while the core's lock is held and must not block. It reports
--- a/internal/platform/target/message.go
+++ b/internal/platform/target/message.go
@@ -69,7 +69,7 @@
 	case notStarted && (m.Status == 503 || m.Status == 504):
 		res.Outcome = logic.Full
 	case m.Status == 200 && written:
-		res.Outcome, res.Body, res.Kept = logic.OK, m.Body, len(m.Body) > http1.MaxReusedBuffer
+		res.Outcome, res.Body, res.BodyStable = logic.OK, m.Body, len(m.Body) > http1.MaxReusedBuffer
 	}
 	if v, ok := parseCount(m.Get("x-meter")); ok {
 		res.Used = 1 + v
