--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -69,8 +69,8 @@
 type Back interface {
 	// Start begins an attempt. The request is valid only during the call.
 	Start(now logic.Micros, a *Attempt, r *Request)
-	// Drop cancels an attempt; its end is still reported.
-	Drop(a *Attempt)
+	// Cancel cancels an attempt; its end is still reported.
+	Cancel(a *Attempt)
 	// Recall cancels an attempt unless it is sent completely; its end is still reported.
 	Recall(a *Attempt)
 	// Done is called when the result of an attempt is no longer used; the attempt is reused afterwards.
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -129,7 +129,7 @@
 		case actionStart:
 			s.back.Start(now, a.attempt, a.request)
 		case actionDrop:
-			s.back.Drop(a.attempt)
+			s.back.Cancel(a.attempt)
 		case actionRecall:
 			s.back.Recall(a.attempt)
 		case actionAnswer:
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -189,8 +189,8 @@
 	return err == nil || n > 0
 }
 
-// Drop implements [core.Back].
-func (b *Back) Drop(a *core.Attempt) { b.abandon(a, false) }
+// Cancel implements [core.Back].
+func (b *Back) Cancel(a *core.Attempt) { b.abandon(a, false) }
 
 // Recall implements [core.Back].
 func (b *Back) Recall(a *core.Attempt) { b.abandon(a, true) }
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -196,7 +196,7 @@
 		want      logic.Outcome
 	}{
 		"client left":  {func(d *testBack, a *core.Attempt) { d.back.Recall(a) }, logic.Moot},
-		"timed out":    {func(d *testBack, a *core.Attempt) { d.back.Drop(a) }, logic.ConnectFailed},
+		"timed out":    {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
 		"its time up":  {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
 		"forgotten":    {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
 		"drains":       {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Takes = false }) }, logic.Moot},
@@ -351,7 +351,7 @@
 		d.readRequest(c)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 		d.waitUntilRead(a)
-		d.back.Drop(a) // shuts the connection down, which the reader sees as the end of the stream
+		d.back.Cancel(a) // shuts the connection down, which the reader sees as the end of the stream
 		d.expectOutcome(a, logic.Reset)
 	})
 	t.Run("refused", func(t *testing.T) {
@@ -411,7 +411,7 @@
 			d.readRequest(other)
 			io.WriteString(other, okAnswer("fine"))
 			d.expectOutcome(b, logic.OK)
-			d.back.Drop(a)
+			d.back.Cancel(a)
 			d.expectOutcome(a, logic.Reset)
 		})
 	}
@@ -470,13 +470,13 @@
 		case 2:
 			d.back.Recall(open[len(open)/2])
 		case 3, 4, 5:
-			d.back.Drop(open[len(open)*9/10])
+			d.back.Cancel(open[len(open)*9/10])
 		case 6:
 			d.changeTarget(func(p *core.Place) { p.Started = logic.Micros(i / 50) })
 		}
 	}
 	for _, a := range open { // ends the attempts that are still in flight
-		d.back.Drop(a)
+		d.back.Cancel(a)
 	}
 	<-done
 	for _, a := range open {
@@ -511,7 +511,7 @@
 			t.Fatal("the socket did not take the whole request")
 		}
 	}
-	d.back.Drop(a)
+	d.back.Cancel(a)
 	d.expectOutcome(a, logic.Reset)
 	if m := new(http1.Message); http1.NewReader(c).ReadRequest(m) == nil {
 		t.Errorf("the target received the whole request, %d bytes, after it was given up", len(m.Body))
