--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -71,8 +71,8 @@
 	Start(now logic.Micros, a *Attempt, r *Request)
 	// Cancel cancels an attempt; its end is still reported.
 	Cancel(a *Attempt)
-	// Recall cancels an attempt unless it is sent completely; its end is still reported.
-	Recall(a *Attempt)
+	// CancelUnsent cancels an attempt unless it is sent completely; its end is still reported.
+	CancelUnsent(a *Attempt)
 	// Done is called when the result of an attempt is no longer used; the attempt is reused afterwards.
 	Done(now logic.Micros, a *Attempt)
 	// Targets replaces the list of targets; targets that are not listed are gone.
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -131,7 +131,7 @@
 		case actionDrop:
 			s.back.Cancel(a.attempt)
 		case actionRecall:
-			s.back.Recall(a.attempt)
+			s.back.CancelUnsent(a.attempt)
 		case actionAnswer:
 			a.request.Front.Answer(now, a.request, a.answer)
 		case actionDone:
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -192,8 +192,8 @@
 // Cancel implements [core.Back].
 func (b *Back) Cancel(a *core.Attempt) { b.abandon(a, false) }
 
-// Recall implements [core.Back].
-func (b *Back) Recall(a *core.Attempt) { b.abandon(a, true) }
+// CancelUnsent implements [core.Back].
+func (b *Back) CancelUnsent(a *core.Attempt) { b.abandon(a, true) }
 
 // abandon gives up an attempt; with onlyUnsent, only if it was not written completely.
 func (b *Back) abandon(a *core.Attempt, onlyUnsent bool) {
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -195,7 +195,7 @@
 		meanwhile func(d *testBack, a *core.Attempt)
 		want      logic.Outcome
 	}{
-		"client left":  {func(d *testBack, a *core.Attempt) { d.back.Recall(a) }, logic.Moot},
+		"client left":  {func(d *testBack, a *core.Attempt) { d.back.CancelUnsent(a) }, logic.Moot},
 		"timed out":    {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
 		"its time up":  {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
 		"forgotten":    {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
@@ -240,7 +240,7 @@
 	a := d.start(0)
 	c := d.nextConn()
 	d.readRequest(c)
-	d.back.Recall(a)
+	d.back.CancelUnsent(a)
 	io.WriteString(c, okAnswer("yes"))
 	d.expectOutcome(a, logic.OK)
 	if _, idle := d.back.ConnectionCounts(); idle != 1 {
@@ -468,7 +468,7 @@
 		d.clock.Add(25_000)
 		switch i % 7 {
 		case 2:
-			d.back.Recall(open[len(open)/2])
+			d.back.CancelUnsent(open[len(open)/2])
 		case 3, 4, 5:
 			d.back.Cancel(open[len(open)*9/10])
 		case 6:
