--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -73,8 +73,8 @@
 	Cancel(a *Attempt)
 	// CancelUnsent cancels an attempt unless it is sent completely; its end is still reported.
 	CancelUnsent(a *Attempt)
-	// Done is called when the result of an attempt is no longer used; the attempt is reused afterwards.
-	Done(now logic.Micros, a *Attempt)
+	// Release is called when the result of an attempt is no longer used; the attempt is reused afterwards.
+	Release(now logic.Micros, a *Attempt)
 	// Targets replaces the list of targets; targets that are not listed are gone.
 	Targets(now logic.Micros, list []Place)
 }
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -135,7 +135,7 @@
 		case actionAnswer:
 			a.request.Front.Answer(now, a.request, a.answer)
 		case actionDone:
-			s.back.Done(now, a.attempt)
+			s.back.Release(now, a.attempt)
 			c.recycle(a.attempt)
 		case actionLog:
 			s.log.Info(a.text)
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -210,8 +210,8 @@
 	c.cancelDial()
 }
 
-// Done implements [core.Back].
-func (b *Back) Done(now logic.Micros, a *core.Attempt) {
+// Release implements [core.Back].
+func (b *Back) Release(now logic.Micros, a *core.Attempt) {
 	b.mu.Lock()
 	if c, ok := a.Conn.(*connection); ok && c.attempt == a {
 		c.attempt = nil
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -153,7 +153,7 @@
 		if e.a != a || e.res.Outcome != want {
 			d.Fatalf("outcome %d, want %d", e.res.Outcome, want)
 		}
-		d.back.Done(d.Now(), a)
+		d.back.Release(d.Now(), a)
 		return e
 	case <-time.After(20 * time.Second):
 		d.Fatal("no outcome was reported")
@@ -457,7 +457,7 @@
 			mu.Lock()
 			seen[e.a]++
 			mu.Unlock()
-			d.back.Done(d.Now(), e.a)
+			d.back.Release(d.Now(), e.a)
 		}
 	}()
 	for i := range all {
