--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -75,8 +75,8 @@
 	CancelUnsent(a *Attempt)
 	// Release is called when the result of an attempt is no longer used; the attempt is reused afterwards.
 	Release(now logic.Micros, a *Attempt)
-	// Targets replaces the list of targets; targets that are not listed are gone.
-	Targets(now logic.Micros, list []Place)
+	// SetTargets replaces the list of targets; targets that are not listed are gone.
+	SetTargets(now logic.Micros, list []Place)
 }
 
 // Place identifies a running target and its address. An attempt is not sent if the place of its target has changed
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -118,7 +118,7 @@
 		case inputEnd:
 			c.End(x.deadline)
 		case inputNodes:
-			s.back.Targets(now, x.endpoints)
+			s.back.SetTargets(now, x.endpoints)
 			if len(x.changed) > 0 {
 				c.Nodes(listKind, x.changed)
 			}
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -228,8 +228,8 @@
 	b.mu.Unlock()
 }
 
-// Targets implements [core.Back].
-func (b *Back) Targets(_ logic.Micros, list []core.Place) {
+// SetTargets implements [core.Back].
+func (b *Back) SetTargets(_ logic.Micros, list []core.Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.targets)
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -77,7 +77,7 @@
 	}
 	d.back = New(set, h)
 	d.target = core.Place{Node: 1, Address: l.Addr().String(), Started: 5, Takes: true}
-	d.back.Targets(h.Now(), []core.Place{d.target})
+	d.back.SetTargets(h.Now(), []core.Place{d.target})
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -195,16 +195,19 @@
 		meanwhile func(d *testBack, a *core.Attempt)
 		want      logic.Outcome
 	}{
-		"client left":  {func(d *testBack, a *core.Attempt) { d.back.CancelUnsent(a) }, logic.Moot},
-		"timed out":    {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
-		"its time up":  {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
-		"forgotten":    {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
-		"drains":       {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Takes = false }) }, logic.Moot},
-		"moved":        {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Address = "127.0.0.1:9" }) }, logic.Moot},
-		"new start":    {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Started++ }) }, logic.Moot},
-		"other shard":  {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Cell++ }) }, logic.Moot},
-		"gone":         {func(d *testBack, a *core.Attempt) { d.back.Targets(d.Now(), nil) }, logic.Moot},
-		"back in time": {func(d *testBack, a *core.Attempt) { d.back.Targets(d.Now(), nil); d.changeTarget(func(*core.Place) {}) }, logic.OK},
+		"client left": {func(d *testBack, a *core.Attempt) { d.back.CancelUnsent(a) }, logic.Moot},
+		"timed out":   {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
+		"its time up": {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
+		"forgotten":   {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
+		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Takes = false }) }, logic.Moot},
+		"moved":       {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Address = "127.0.0.1:9" }) }, logic.Moot},
+		"new start":   {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Started++ }) }, logic.Moot},
+		"other shard": {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Cell++ }) }, logic.Moot},
+		"gone":        {func(d *testBack, a *core.Attempt) { d.back.SetTargets(d.Now(), nil) }, logic.Moot},
+		"back in time": {func(d *testBack, a *core.Attempt) {
+			d.back.SetTargets(d.Now(), nil)
+			d.changeTarget(func(*core.Place) {})
+		}, logic.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestBack(t, true)
@@ -230,7 +233,7 @@
 func (d *testBack) changeTarget(change func(*core.Place)) {
 	p := d.target
 	change(&p)
-	d.back.Targets(d.Now(), []core.Place{p})
+	d.back.SetTargets(d.Now(), []core.Place{p})
 }
 
 // An attempt that was written completely is not recalled: its target processes it anyway, and the connection can be
