--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -82,9 +82,9 @@
 // Place identifies a running target and its address. An attempt is not sent if the place of its target has changed
 // since the attempt was started.
 type Place struct {
-	Node    logic.NodeID
-	Address string
-	Cell    int
-	Started logic.Micros
-	Takes   bool // accepts new work: it is not draining
+	Node        logic.NodeID
+	Address     string
+	Cell        int
+	Started     logic.Micros
+	AcceptsWork bool // accepts new work: it is not draining
 }
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -140,7 +140,7 @@
 		return
 	}
 	target, hasCapacity := b.targets[a.Node], false
-	if target.Takes && !b.closed {
+	if target.AcceptsWork && !b.closed {
 		var evicted *spares.Conn
 		if evicted, hasCapacity = b.spares.Reserve(); evicted != nil {
 			b.close(evicted.Owner.(*connection))
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -76,7 +76,7 @@
 		}
 	}
 	d.back = New(set, h)
-	d.target = core.Place{Node: 1, Address: l.Addr().String(), Started: 5, Takes: true}
+	d.target = core.Place{Node: 1, Address: l.Addr().String(), Started: 5, AcceptsWork: true}
 	d.back.SetTargets(h.Now(), []core.Place{d.target})
 	go func() {
 		for {
@@ -199,7 +199,7 @@
 		"timed out":   {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
 		"its time up": {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
 		"forgotten":   {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
-		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Takes = false }) }, logic.Moot},
+		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.AcceptsWork = false }) }, logic.Moot},
 		"moved":       {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Address = "127.0.0.1:9" }) }, logic.Moot},
 		"new start":   {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Started++ }) }, logic.Moot},
 		"other shard": {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Cell++ }) }, logic.Moot},
