--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -327,10 +327,10 @@
 const listKind = logic.ListDelta
 
 // Places returns where to reach the targets that are ready or draining.
-func Places(list []members.Target) (out []Place) {
+func Places(list []members.Target) (out []Endpoint) {
 	for _, t := range list {
 		if t.State != logic.Gone {
-			out = append(out, Place{t.ID, t.Address, t.Cell, t.Started, t.State == logic.Ready})
+			out = append(out, Endpoint{t.ID, t.Address, t.Cell, t.Started, t.State == logic.Ready})
 		}
 	}
 	return out
--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -76,12 +76,12 @@
 	// Release is called when the result of an attempt is no longer used; the attempt is reused afterwards.
 	Release(now logic.Micros, a *Attempt)
 	// SetTargets replaces the list of targets; targets that are not listed are gone.
-	SetTargets(now logic.Micros, list []Place)
+	SetTargets(now logic.Micros, list []Endpoint)
 }
 
-// Place identifies a running target and its address. An attempt is not sent if the place of its target has changed
+// Endpoint identifies a running target and its address. An attempt is not sent if the place of its target has changed
 // since the attempt was started.
-type Place struct {
+type Endpoint struct {
 	Node        logic.NodeID
 	Address     string
 	Cell        int
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -39,7 +39,7 @@
 	attempt   *Attempt
 	result    Result
 	changed   []logic.Node
-	endpoints []Place
+	endpoints []Endpoint
 	capacity  int
 	deadline  logic.Micros
 }
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -44,7 +44,7 @@
 
 	mu         sync.Mutex // never held during a call of the sink
 	spares     *spares.Pool
-	targets    map[logic.NodeID]core.Place
+	targets    map[logic.NodeID]core.Endpoint
 	conns      map[*connection]struct{}
 	sweepTimer *time.Timer
 	closed     bool
@@ -64,7 +64,7 @@
 		settings.Dial = new(net.Dialer).DialContext
 	}
 	b := &Back{settings: settings, sink: sink, spares: spares.New(settings.MaxConnections, settings.MaxAnswerBytes, settings.IdleTimeout),
-		targets: map[logic.NodeID]core.Place{}, conns: map[*connection]struct{}{}}
+		targets: map[logic.NodeID]core.Endpoint{}, conns: map[*connection]struct{}{}}
 	b.sweepTimer = time.AfterFunc(sweepInterval, b.sweep)
 	return b
 }
@@ -86,7 +86,7 @@
 type connection struct {
 	back       *Back
 	spare      spares.Conn
-	target     core.Place
+	target     core.Endpoint
 	cancelDial context.CancelFunc
 
 	// The fields below are guarded by the back's lock.
@@ -229,7 +229,7 @@
 }
 
 // SetTargets implements [core.Back].
-func (b *Back) SetTargets(_ logic.Micros, list []core.Place) {
+func (b *Back) SetTargets(_ logic.Micros, list []core.Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.targets)
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -45,7 +45,7 @@
 	*testing.T
 	*fakeSink
 	back     *Back
-	target   core.Place
+	target   core.Endpoint
 	listener net.Listener
 	conns    chan *net.TCPConn // in the order in which they are accepted
 	dials    chan chan struct{}
@@ -76,8 +76,8 @@
 		}
 	}
 	d.back = New(set, h)
-	d.target = core.Place{Node: 1, Address: l.Addr().String(), Started: 5, AcceptsWork: true}
-	d.back.SetTargets(h.Now(), []core.Place{d.target})
+	d.target = core.Endpoint{Node: 1, Address: l.Addr().String(), Started: 5, AcceptsWork: true}
+	d.back.SetTargets(h.Now(), []core.Endpoint{d.target})
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -199,14 +199,16 @@
 		"timed out":   {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
 		"its time up": {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
 		"forgotten":   {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
-		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.AcceptsWork = false }) }, logic.Moot},
-		"moved":       {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Address = "127.0.0.1:9" }) }, logic.Moot},
-		"new start":   {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Started++ }) }, logic.Moot},
-		"other shard": {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Place) { p.Cell++ }) }, logic.Moot},
+		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.AcceptsWork = false }) }, logic.Moot},
+		"moved": {func(d *testBack, a *core.Attempt) {
+			d.changeTarget(func(p *core.Endpoint) { p.Address = "127.0.0.1:9" })
+		}, logic.Moot},
+		"new start":   {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.Started++ }) }, logic.Moot},
+		"other shard": {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.Cell++ }) }, logic.Moot},
 		"gone":        {func(d *testBack, a *core.Attempt) { d.back.SetTargets(d.Now(), nil) }, logic.Moot},
 		"back in time": {func(d *testBack, a *core.Attempt) {
 			d.back.SetTargets(d.Now(), nil)
-			d.changeTarget(func(*core.Place) {})
+			d.changeTarget(func(*core.Endpoint) {})
 		}, logic.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -230,10 +232,10 @@
 	}
 }
 
-func (d *testBack) changeTarget(change func(*core.Place)) {
+func (d *testBack) changeTarget(change func(*core.Endpoint)) {
 	p := d.target
 	change(&p)
-	d.back.SetTargets(d.Now(), []core.Place{p})
+	d.back.SetTargets(d.Now(), []core.Endpoint{p})
 }
 
 // An attempt that was written completely is not recalled: its target processes it anyway, and the connection can be
@@ -475,7 +477,7 @@
 		case 3, 4, 5:
 			d.back.Cancel(open[len(open)*9/10])
 		case 6:
-			d.changeTarget(func(p *core.Place) { p.Started = logic.Micros(i / 50) })
+			d.changeTarget(func(p *core.Endpoint) { p.Started = logic.Micros(i / 50) })
 		}
 	}
 	for _, a := range open { // ends the attempts that are still in flight
