--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -326,8 +326,8 @@
 // listKind marks all lists as changes: package members reports a complete list, too, as the changes it makes.
 const listKind = logic.ListDelta
 
-// Places returns where to reach the targets that are ready or draining.
-func Places(list []members.Target) (out []Endpoint) {
+// Endpoints returns where to reach the targets that are ready or draining.
+func Endpoints(list []members.Target) (out []Endpoint) {
 	for _, t := range list {
 		if t.State != logic.Gone {
 			out = append(out, Endpoint{t.ID, t.Address, t.Cell, t.Started, t.State == logic.Ready})
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -83,7 +83,7 @@
 
 // Nodes reports changed targets, and the list of all of them.
 func (s *Shell) Nodes(changed []logic.Node, all []members.Target) {
-	s.loop.Post(input{kind: inputNodes, changed: changed, endpoints: Places(all)})
+	s.loop.Post(input{kind: inputNodes, changed: changed, endpoints: Endpoints(all)})
 }
 
 // Steps counts the steps of a shell.
