--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -88,8 +88,8 @@
 	return t
 }
 
-// Take accepts a request from its front.
-func (c *Core) Take(now logic.Micros, r *Request) {
+// Submit accepts a request from its front.
+func (c *Core) Submit(now logic.Micros, r *Request) {
 	c.lastID++
 	e := c.newEntry()
 	*e = entry{id: c.lastID, request: r, volume: r.Volume, units: r.Units, deadline: now + r.Timeout, outstanding: e.outstanding[:0]}
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -99,7 +99,7 @@
 					Attached: 1, Units: float64(1 + rng.IntN(6)), Timeout: logic.Micros(1 + rng.Int64N(1_500_000)), Front: &x.recorder}
 				x.deadline = now + x.Timeout
 				all, open = append(all, x), append(open, x)
-				c.Take(now, &x.Request)
+				c.Submit(now, &x.Request)
 			}
 			if len(open) > 0 && rng.IntN(20) == 0 {
 				i := rng.IntN(len(open))
@@ -176,7 +176,7 @@
 	outstanding := map[*Attempt]*sentAttempt{}
 	submit := func(i int) {
 		fronts[i] = &recorder{t: t}
-		c.Take(now, &Request{Class: 1, Plan: 1, Attached: 1, Units: 1, Timeout: 25_000_000, Volume: logic.VolumeID(i), Front: fronts[i]})
+		c.Submit(now, &Request{Class: 1, Plan: 1, Attached: 1, Units: 1, Timeout: 25_000_000, Volume: logic.VolumeID(i), Front: fronts[i]})
 		runSteps(c, now, outstanding)
 	}
 	for i := range 8 { // some are sent to a target that never answers, others wait
@@ -210,7 +210,7 @@
 	c.Nodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
 	front := &recorder{t: t}
 	r := &Request{Class: 0, Plan: 1, Attached: 1, Units: 1, Timeout: 50_000, Front: front}
-	c.Take(now, r)
+	c.Submit(now, r)
 	outstanding := map[*Attempt]*sentAttempt{}
 	runSteps(c, now, outstanding)
 	if len(outstanding) != 1 {
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -106,7 +106,7 @@
 	for i := range in {
 		switch x := &in[i]; x.kind {
 		case inputRequest:
-			c.Take(now, x.request)
+			c.Submit(now, x.request)
 		case inputClientGone:
 			if c.Gone(now, x.request) {
 				x.request.Front.Answer(now, x.request, Answer{Verdict: Failed})
