--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -109,9 +109,9 @@
 	})
 }
 
-// Gone ends a request whose client has left and returns it to its front. It returns false if the request was already
+// ClientGone ends a request whose client has left and returns it to its front. It returns false if the request was already
 // answered.
-func (c *Core) Gone(now logic.Micros, r *Request) bool {
+func (c *Core) ClientGone(now logic.Micros, r *Request) bool {
 	e := r.entry
 	if e == nil || e.request != r {
 		return false
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -103,7 +103,7 @@
 			}
 			if len(open) > 0 && rng.IntN(20) == 0 {
 				i := rng.IntN(len(open))
-				if x := open[i]; x.answers == 0 && c.Gone(now, &x.Request) {
+				if x := open[i]; x.answers == 0 && c.ClientGone(now, &x.Request) {
 					x.gone = true
 				}
 			}
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -108,7 +108,7 @@
 		case inputRequest:
 			c.Submit(now, x.request)
 		case inputClientGone:
-			if c.Gone(now, x.request) {
+			if c.ClientGone(now, x.request) {
 				x.request.Front.Answer(now, x.request, Answer{Verdict: Failed})
 			}
 		case inputAttemptEnded:
