--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -123,9 +123,9 @@
 	return true
 }
 
-// End begins the shutdown: all requests, held ones and new ones, must be answered by the deadline. Without this bound,
+// Shutdown begins the shutdown: all requests, held ones and new ones, must be answered by the deadline. Without this bound,
 // requests whose clients would wait for 29 s were still held when the process exited.
-func (c *Core) End(deadline logic.Micros) {
+func (c *Core) Shutdown(deadline logic.Micros) {
 	c.shutdownDeadline = deadline
 	for _, e := range c.entries {
 		e.deadline = min(e.deadline, deadline)
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -183,7 +183,7 @@
 		submit(i)
 	}
 	deadline := now + 2_000_000
-	c.End(deadline)
+	c.Shutdown(deadline)
 	runSteps(c, now, outstanding)
 	now += 1_000_000
 	for i := 8; i < 12; i++ {
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -116,7 +116,7 @@
 		case inputCapacity:
 			c.Room(x.capacity)
 		case inputEnd:
-			c.End(x.deadline)
+			c.Shutdown(x.deadline)
 		case inputNodes:
 			s.back.SetTargets(now, x.endpoints)
 			if len(x.changed) > 0 {
