--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// Ended takes the end of an attempt from the back. If the attempt has timed out before, logic does not see its result.
-func (c *Core) Ended(now logic.Micros, a *Attempt, res Result) {
+// AttemptEnded takes the end of an attempt from the back. If the attempt has timed out before, logic does not see its result.
+func (c *Core) AttemptEnded(now logic.Micros, a *Attempt, res Result) {
 	c.tally.Out--
 	if c.host.MarkEnded(&a.Attempt) {
 		c.reportEnd(now, a, res)
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -115,7 +115,7 @@
 				}
 				if rng.IntN(8) == 0 {
 					delete(outstanding, a)
-					c.Ended(now, a, Result{Outcome: logic.Outcome(rng.IntN(8)), Load: logic.NoLoad})
+					c.AttemptEnded(now, a, Result{Outcome: logic.Outcome(rng.IntN(8)), Load: logic.NoLoad})
 				}
 				if rng.IntN(3) == 0 {
 					break
@@ -147,7 +147,7 @@
 			now += 10_000
 			for a := range outstanding {
 				delete(outstanding, a)
-				c.Ended(now, a, Result{Outcome: logic.Reset, Load: logic.NoLoad})
+				c.AttemptEnded(now, a, Result{Outcome: logic.Reset, Load: logic.NoLoad})
 			}
 			runSteps(c, now, outstanding)
 		}
@@ -221,7 +221,7 @@
 		t.Fatalf("want one answer that is not Served: %+v", front)
 	}
 	for a := range outstanding {
-		c.Ended(now+70_000, a, Result{Outcome: logic.OK, Body: []byte("late"), Load: logic.NoLoad})
+		c.AttemptEnded(now+70_000, a, Result{Outcome: logic.OK, Body: []byte("late"), Load: logic.NoLoad})
 	}
 	runSteps(c, now+70_000, outstanding)
 	if front.answers != 1 || c.Tally().LateEnds != 1 {
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -112,7 +112,7 @@
 				x.request.Front.Answer(now, x.request, Answer{Verdict: Failed})
 			}
 		case inputAttemptEnded:
-			c.Ended(now, x.attempt, x.result)
+			c.AttemptEnded(now, x.attempt, x.result)
 		case inputCapacity:
 			c.Room(x.capacity)
 		case inputEnd:
