--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -122,7 +122,7 @@
 				}
 			}
 			if rng.IntN(300) == 0 {
-				c.Room(rng.IntN(10))
+				c.SetCapacity(rng.IntN(10))
 			}
 			if rng.IntN(300) == 0 {
 				n := nodes[rng.IntN(3)]
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -114,7 +114,7 @@
 		case inputAttemptEnded:
 			c.AttemptEnded(now, x.attempt, x.result)
 		case inputCapacity:
-			c.Room(x.capacity)
+			c.SetCapacity(x.capacity)
 		case inputEnd:
 			c.Shutdown(x.deadline)
 		case inputNodes:
