--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -82,7 +82,7 @@
 		}
 		now := logic.Micros(1_000_000_000)
 		nodes := []logic.Node{{ID: 1, Cell: 0, State: logic.Ready}, {ID: 2, Cell: 1, State: logic.Ready}, {ID: 3, Cell: 1, State: logic.Ready}}
-		c.Nodes(listKind, nodes)
+		c.UpdateNodes(listKind, nodes)
 		type clientRequest struct {
 			Request
 			recorder
@@ -127,7 +127,7 @@
 			if rng.IntN(300) == 0 {
 				n := nodes[rng.IntN(3)]
 				n.State = logic.NodeState(rng.IntN(3))
-				c.Nodes(listKind, []logic.Node{n})
+				c.UpdateNodes(listKind, []logic.Node{n})
 			}
 			runSteps(c, now, outstanding)
 			stillOpen := open[:0]
@@ -171,7 +171,7 @@
 func TestEndBoundsAll(t *testing.T) {
 	c, _ := New(settings(), 1)
 	now := logic.Micros(1_000_000_000)
-	c.Nodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
+	c.UpdateNodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
 	fronts := make([]*recorder, 12)
 	outstanding := map[*Attempt]*sentAttempt{}
 	submit := func(i int) {
@@ -207,7 +207,7 @@
 func TestLateAnswer(t *testing.T) {
 	c, _ := New(settings(), 1)
 	now := logic.Micros(1_000_000_000)
-	c.Nodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
+	c.UpdateNodes(listKind, []logic.Node{{ID: 1, State: logic.Ready}})
 	front := &recorder{t: t}
 	r := &Request{Class: 0, Plan: 1, Attached: 1, Units: 1, Timeout: 50_000, Front: front}
 	c.Submit(now, r)
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -120,7 +120,7 @@
 		case inputNodes:
 			s.back.SetTargets(now, x.endpoints)
 			if len(x.changed) > 0 {
-				c.Nodes(listKind, x.changed)
+				c.UpdateNodes(listKind, x.changed)
 			}
 		}
 	}
