--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -127,7 +127,7 @@
 		}
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = News(f.Known, s.Zones); err != nil {
+		if c.Known, err = ParseNews(f.Known, s.Zones); err != nil {
 			return nil, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
@@ -169,8 +169,8 @@
 
 var phases = map[string]logic.NodeState{"in_service": logic.Ready, "terminating": logic.Draining, "terminated": logic.Gone}
 
-// News parses a list of targets. Zones are the zone names of the settings, in their order.
-func News(text []byte, zones []string) (members.Update, error) {
+// ParseNews parses a list of targets. Zones are the zone names of the settings, in their order.
+func ParseNews(text []byte, zones []string) (members.Update, error) {
 	var l targetList
 	if err := json.Unmarshal(text, &l); err != nil {
 		return members.Update{}, err
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -76,7 +76,7 @@
 	f.Add([]byte(`{"revision":43,"complete":false,"members":[{"id":"s","host_port":"10.1.0.18:7070","locality":"a","cell":3,"phase":"in_service","size":1.0,"up_since_ms":0}]}`))
 	f.Add([]byte(`{"revision":43,"members":[{"id":"s","phase":"terminated"}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := News(b, []string{"a"})
+		n, err := ParseNews(b, []string{"a"})
 		if err != nil {
 			return
 		}
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -215,7 +215,7 @@
 
 // applyList parses a list and passes the changes that it makes to the sink.
 func (w *Watch) applyList(list []byte, use int, first bool) error {
-	news, err := config.News(list, w.zones)
+	news, err := config.ParseNews(list, w.zones)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.follow.Accepts(use) {
