--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -83,7 +83,7 @@
 		Discovery: cmp.Or(f.Discovery, env("ROUTER_DISCOVERY")), Limits: f.Limits,
 	}
 	for _, a := range []struct{ field, v string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if err := Address(a.v); err != nil {
+		if err := CheckAddress(a.v); err != nil {
 			return nil, fmt.Errorf("configuration: %s: %w", a.field, err)
 		}
 	}
@@ -137,8 +137,8 @@
 // minSockets is the minimum number of sockets that an initiator can serve with.
 const minSockets = 64
 
-// Address checks that a has the form host:port, with an IP address as host, as there is no DNS.
-func Address(a string) error {
+// CheckAddress checks that a has the form host:port, with an IP address as host, as there is no DNS.
+func CheckAddress(a string) error {
 	host, port, err := net.SplitHostPort(a)
 	if err != nil {
 		return fmt.Errorf("%q is not of the form host:port: %w", a, err)
@@ -192,7 +192,7 @@
 			return members.Update{}, fmt.Errorf("members[%d] %s: up_since_ms is %d, must not be negative", i, m.ID, m.UpSince)
 		}
 		if state != logic.Gone {
-			if err := Address(m.HostPort); err != nil {
+			if err := CheckAddress(m.HostPort); err != nil {
 				return members.Update{}, fmt.Errorf("members[%d] %s: host_port: %w", i, m.ID, err)
 			}
 		}
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -81,7 +81,7 @@
 			return
 		}
 		for _, x := range n.Targets {
-			if x.Name == "" || x.Cell < 0 || x.Started < 0 || x.State != logic.Gone && Address(x.Address) != nil {
+			if x.Name == "" || x.Cell < 0 || x.Started < 0 || x.State != logic.Gone && CheckAddress(x.Address) != nil {
 				t.Fatalf("%+v", x)
 			}
 		}
