--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -44,8 +44,8 @@
 
 const lineFormat = linePrefix + "%d %s %s %d %d %d %s %d %g\n"
 
-// Put writes a line to the buffer.
-func (t *Writer) Put(l Line) {
+// WriteLine writes a line to the buffer.
+func (t *Writer) WriteLine(l Line) {
 	t.mu.Lock()
 	fmt.Fprintf(t.w, lineFormat, l.At, l.Side, l.What, l.Request, l.Number, l.Node, l.Outcome, l.Took, l.Load)
 	t.mu.Unlock()
--- a/internal/platform/trace/trace_test.go
+++ b/internal/platform/trace/trace_test.go
@@ -14,7 +14,7 @@
 		{At: 500, Side: "wire", What: "end", Request: 1, Outcome: "200/whole"}, {At: 520, Side: "core", What: "end", Request: 1, Outcome: "ok"},
 		{At: 600, Side: "core", What: "send", Request: 2, Outcome: "-"}, {At: 900, Side: "core", What: "end", Request: 2, Outcome: "timeout"},
 	} {
-		w.Put(l)
+		w.WriteLine(l)
 	}
 	w.Flush()
 	r, err := Read(strings.NewReader("a log line\n[1.2] " + b.String()))
