--- a/cmd/appleplank/initiator.go
+++ b/cmd/appleplank/initiator.go
@@ -37,7 +37,7 @@
 				tr = trace.New(os.Stderr)
 				stop := make(chan struct{})
 				defer close(stop)
-				go tr.Keep(stop)
+				go tr.FlushPeriodically(stop)
 			}
 			in, err := platform.New(os.Getenv, tr, log)
 			if err != nil {
--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -58,8 +58,8 @@
 	return t.w.Flush()
 }
 
-// Keep flushes every 100 ms until stop is closed, and once more then.
-func (t *Writer) Keep(stop <-chan struct{}) {
+// FlushPeriodically flushes every 100 ms until stop is closed, and once more then.
+func (t *Writer) FlushPeriodically(stop <-chan struct{}) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
