--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -171,7 +171,7 @@
 	e := a.e
 	e.outstanding = slices.DeleteFunc(e.outstanding, func(x *Attempt) bool { return x == a })
 	c.tally.Outcomes[res.Outcome]++
-	c.writeTrace(now, "end", e.id, a.Number, a.Node, trace.Words[res.Outcome], now-a.Sent, res.Load)
+	c.writeTrace(now, "end", e.id, a.Number, a.Node, trace.OutcomeNames[res.Outcome], now-a.Sent, res.Load)
 	c.host.AddEvent(logic.AttemptEnded{
 		Request: e.id, Attempt: a.Number, Node: a.Node, Outcome: res.Outcome, Took: now - a.Sent,
 		Settled: res.Outcome == logic.OK || e.request == nil, Used: res.Used, Elsewhere: res.Elsewhere, Load: res.Load,
--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Words are the names of the outcomes in a trace.
-var Words = [...]string{logic.OK: "ok", logic.Failed: "failed", logic.Full: "full", logic.TimedOut: "timeout",
+// OutcomeNames are the names of the outcomes in a trace.
+var OutcomeNames = [...]string{logic.OK: "ok", logic.Failed: "failed", logic.Full: "full", logic.TimedOut: "timeout",
 	logic.ConnectFailed: "connect", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.Moot: "moot"}
 
 // Report is the result of comparing the two sides of a trace.
@@ -125,7 +125,7 @@
 		if !ok {
 			rep.Alone++
 			w.Outcome = "nothing"
-		} else if c.Outcome != Words[logic.TimedOut] {
+		} else if c.Outcome != OutcomeNames[logic.TimedOut] {
 			rep.EndLate = append(rep.EndLate, c.At-w.At)
 		}
 		rep.Pairs[[2]string{c.Outcome, w.Outcome}]++
