--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -213,7 +213,7 @@
 // writeTrace writes an event, as the core sees it, to the trace.
 func (c *Core) writeTrace(now logic.Micros, what string, id logic.RequestID, number int, node logic.NodeID, outcome string, took logic.Micros, load logic.Load) {
 	if c.trace != nil {
-		c.trace.WriteLine(trace.Line{At: now, Side: "core", What: what, Request: id, Number: number, Node: node, Outcome: outcome, Took: took, Load: load.Waits})
+		c.trace.WriteLine(trace.Line{At: now, Side: "core", Event: what, Request: id, Number: number, Node: node, Outcome: outcome, Took: took, Load: load.Waits})
 	}
 }
 
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -492,7 +492,7 @@
 		detail += "/dropped"
 	}
 	now, a := b.sink.Now(), c.attempt
-	b.settings.Trace.WriteLine(trace.Line{At: now, Side: "wire", What: event, Request: a.Request, Number: a.Number, Node: a.Node, Outcome: detail, Took: now - a.Sent, Load: -1})
+	b.settings.Trace.WriteLine(trace.Line{At: now, Side: "wire", Event: event, Request: a.Request, Number: a.Number, Node: a.Node, Outcome: detail, Took: now - a.Sent, Load: -1})
 }
 
 // traceIdle records what arrived on a connection with no attempt in flight, and how long after its last answer.
@@ -505,5 +505,5 @@
 		detail = "closed"
 	}
 	now := b.sink.Now()
-	b.settings.Trace.WriteLine(trace.Line{At: now, Side: "wire", What: "idle", Node: c.target.Node, Outcome: detail, Took: now - c.answeredAt, Load: -1})
+	b.settings.Trace.WriteLine(trace.Line{At: now, Side: "wire", Event: "idle", Node: c.target.Node, Outcome: detail, Took: now - c.answeredAt, Load: -1})
 }
--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -33,7 +33,7 @@
 type Line struct {
 	At      logic.Micros
 	Side    string // core, wire
-	What    string // taken, send, end, answer, gone
+	Event   string // taken, send, end, answer, gone
 	Request logic.RequestID
 	Number  int
 	Node    logic.NodeID
@@ -47,7 +47,7 @@
 // WriteLine writes a line to the buffer.
 func (t *Writer) WriteLine(l Line) {
 	t.mu.Lock()
-	fmt.Fprintf(t.w, lineFormat, l.At, l.Side, l.What, l.Request, l.Number, l.Node, l.Outcome, l.Took, l.Load)
+	fmt.Fprintf(t.w, lineFormat, l.At, l.Side, l.Event, l.Request, l.Number, l.Node, l.Outcome, l.Took, l.Load)
 	t.mu.Unlock()
 }
 
@@ -104,19 +104,19 @@
 			continue
 		}
 		var l Line
-		if _, err := fmt.Sscanf(linePrefix+text, strings.TrimSuffix(lineFormat, "\n"), &l.At, &l.Side, &l.What, &l.Request, &l.Number, &l.Node, &l.Outcome, &l.Took, &l.Load); err != nil {
+		if _, err := fmt.Sscanf(linePrefix+text, strings.TrimSuffix(lineFormat, "\n"), &l.At, &l.Side, &l.Event, &l.Request, &l.Number, &l.Node, &l.Outcome, &l.Took, &l.Load); err != nil {
 			return nil, fmt.Errorf("trace line %q: %w", text, err)
 		}
 		k := attemptKey{l.Request, l.Number}
 		switch {
-		case l.What == "send" && l.Side == "core":
+		case l.Event == "send" && l.Side == "core":
 			rep.Attempts++
 			sent[k] = l
-		case l.What == "send":
+		case l.Event == "send":
 			rep.SendLate = append(rep.SendLate, l.At-sent[k].At)
-		case l.What == "end" && l.Side == "core":
+		case l.Event == "end" && l.Side == "core":
 			core[k] = l
-		case l.What == "end":
+		case l.Event == "end":
 			wire[k] = l
 		}
 	}
--- a/internal/platform/trace/trace_test.go
+++ b/internal/platform/trace/trace_test.go
@@ -10,9 +10,9 @@
 	var b bytes.Buffer
 	w := New(&b)
 	for _, l := range []Line{
-		{At: 100, Side: "core", What: "send", Request: 1, Outcome: "-"}, {At: 130, Side: "wire", What: "send", Request: 1, Outcome: "-"},
-		{At: 500, Side: "wire", What: "end", Request: 1, Outcome: "200/whole"}, {At: 520, Side: "core", What: "end", Request: 1, Outcome: "ok"},
-		{At: 600, Side: "core", What: "send", Request: 2, Outcome: "-"}, {At: 900, Side: "core", What: "end", Request: 2, Outcome: "timeout"},
+		{At: 100, Side: "core", Event: "send", Request: 1, Outcome: "-"}, {At: 130, Side: "wire", Event: "send", Request: 1, Outcome: "-"},
+		{At: 500, Side: "wire", Event: "end", Request: 1, Outcome: "200/whole"}, {At: 520, Side: "core", Event: "end", Request: 1, Outcome: "ok"},
+		{At: 600, Side: "core", Event: "send", Request: 2, Outcome: "-"}, {At: 900, Side: "core", Event: "end", Request: 2, Outcome: "timeout"},
 	} {
 		w.WriteLine(l)
 	}
