--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -84,7 +84,7 @@
 	// Delays: from the end of an attempt on its socket until the core processed it, and from the core's decision to
 	// send until the request was sent.
 	EndLate, SendLate []logic.Micros
-	Alone             int // ends that only one side recorded
+	Unmatched         int // ends that only one side recorded
 }
 
 type attemptKey struct {
@@ -123,7 +123,7 @@
 	for k, c := range core {
 		w, ok := wire[k]
 		if !ok {
-			rep.Alone++
+			rep.Unmatched++
 			w.Outcome = "nothing"
 		} else if c.Outcome != OutcomeNames[logic.TimedOut] {
 			rep.EndLate = append(rep.EndLate, c.At-w.At)
@@ -132,7 +132,7 @@
 	}
 	for k := range wire {
 		if _, ok := core[k]; !ok {
-			rep.Alone++
+			rep.Unmatched++
 		}
 	}
 	return rep, lines.Err()
@@ -140,7 +140,7 @@
 
 // Write prints the report as text.
 func (r *Report) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d attempts; %d ends that only one side has\n", r.Attempts, r.Alone)
+	fmt.Fprintf(w, "%d attempts; %d ends that only one side has\n", r.Attempts, r.Unmatched)
 	fmt.Fprintf(w, "%-10s  %-22s  %s\n", "believed", "on the socket", "attempts")
 	keys := make([][2]string, 0, len(r.Pairs))
 	for k := range r.Pairs {
