--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -83,8 +83,8 @@
 	Pairs    map[[2]string]int // attempts by the outcome at the core and on the socket
 	// Delays: from the end of an attempt on its socket until the core processed it, and from the core's decision to
 	// send until the request was sent.
-	EndLate, SendLate []logic.Micros
-	Unmatched         int // ends that only one side recorded
+	EndDelays, SendLate []logic.Micros
+	Unmatched           int // ends that only one side recorded
 }
 
 type attemptKey struct {
@@ -126,7 +126,7 @@
 			rep.Unmatched++
 			w.Outcome = "nothing"
 		} else if c.Outcome != OutcomeNames[logic.TimedOut] {
-			rep.EndLate = append(rep.EndLate, c.At-w.At)
+			rep.EndDelays = append(rep.EndDelays, c.At-w.At)
 		}
 		rep.Pairs[[2]string{c.Outcome, w.Outcome}]++
 	}
@@ -153,7 +153,7 @@
 	for _, x := range []struct {
 		name string
 		v    []logic.Micros
-	}{{"sends left after they were decided", r.SendLate}, {"ends were dealt with after they were read", r.EndLate}} {
+	}{{"sends left after they were decided", r.SendLate}, {"ends were dealt with after they were read", r.EndDelays}} {
 		slices.Sort(x.v)
 		if n := len(x.v); n > 0 {
 			fmt.Fprintf(w, "%s, us: median %d, 99th percentile %d, most %d\n", x.name, x.v[n/2], x.v[n*99/100], x.v[n-1])
