--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -83,8 +83,8 @@
 	Pairs    map[[2]string]int // attempts by the outcome at the core and on the socket
 	// Delays: from the end of an attempt on its socket until the core processed it, and from the core's decision to
 	// send until the request was sent.
-	EndDelays, SendLate []logic.Micros
-	Unmatched           int // ends that only one side recorded
+	EndDelays, SendDelays []logic.Micros
+	Unmatched             int // ends that only one side recorded
 }
 
 type attemptKey struct {
@@ -113,7 +113,7 @@
 			rep.Attempts++
 			sent[k] = l
 		case l.Event == "send":
-			rep.SendLate = append(rep.SendLate, l.At-sent[k].At)
+			rep.SendDelays = append(rep.SendDelays, l.At-sent[k].At)
 		case l.Event == "end" && l.Side == "core":
 			core[k] = l
 		case l.Event == "end":
@@ -153,7 +153,7 @@
 	for _, x := range []struct {
 		name string
 		v    []logic.Micros
-	}{{"sends left after they were decided", r.SendLate}, {"ends were dealt with after they were read", r.EndDelays}} {
+	}{{"sends left after they were decided", r.SendDelays}, {"ends were dealt with after they were read", r.EndDelays}} {
 		slices.Sort(x.v)
 		if n := len(x.v); n > 0 {
 			fmt.Fprintf(w, "%s, us: median %d, 99th percentile %d, most %d\n", x.name, x.v[n/2], x.v[n*99/100], x.v[n-1])
--- a/internal/platform/trace/trace_test.go
+++ b/internal/platform/trace/trace_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if r.Attempts != 2 || r.Unmatched != 1 || r.Pairs[[2]string{"ok", "200/whole"}] != 1 || r.Pairs[[2]string{"timeout", "nothing"}] != 1 ||
-		r.EndDelays[0] != 20 || r.SendLate[0] != 30 {
+		r.EndDelays[0] != 20 || r.SendDelays[0] != 30 {
 		t.Fatalf("%+v", r)
 	}
 	var out bytes.Buffer
