--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -60,9 +60,9 @@
 	return w
 }
 
-// Use watches discovery at the given address from now on. A watch at another address ends once this one has received a
+// SetAddress watches discovery at the given address from now on. A watch at another address ends once this one has received a
 // list or a heartbeat.
-func (w *Watch) Use(address string) {
+func (w *Watch) SetAddress(address string) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.mu.Lock()
 	stopPrevious := w.cancelCurrent
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -139,7 +139,7 @@
 	b := &testWatch{t, h, New(known, []string{"a"}, h, func() {}, zap.NewNop())}
 	<-h.updates
 	t.Cleanup(b.watch.Close)
-	b.watch.Use(address)
+	b.watch.SetAddress(address)
 	return b
 }
 
@@ -294,7 +294,7 @@
 			t.Fatal("a late list from the old address overwrote the new state")
 		}
 		close(lateLists)
-		b.watch.Use(next.listener.Addr().String())
+		b.watch.SetAddress(next.listener.Addr().String())
 		next.nextRequest(t)
 	})
 	t.Run("a silent one", func(t *testing.T) {
@@ -315,7 +315,7 @@
 		b := newTestWatch(t, old.listener.Addr().String())
 		old.nextRequest(t)
 		next := newAgent(t, staySilent)
-		b.watch.Use(next.listener.Addr().String())
+		b.watch.SetAddress(next.listener.Addr().String())
 		next.nextRequest(t)
 		next.nextRequest(t) // the first call was abandoned and repeated
 		tell <- list(2, false, entry("s-1", "terminating"))
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -101,7 +101,7 @@
 	}
 	in.front = front.New(listener, service, in.shell, seatTable, leave.New(maxDeadline), log)
 	in.watch = discovery.New(cfg.Known, s.Zones, in.shell, in.front.SetReady, log)
-	in.watch.Use(cfg.Discovery)
+	in.watch.SetAddress(cfg.Discovery)
 	time.AfterFunc(discoveryTimeout, in.front.SetReady)
 	log.Info("initiator started", zap.String("name", cfg.Name), zap.String("listen", cfg.Listen), zap.Any("limits", cfg.Limits),
 		zap.Duration("longest deadline", time.Duration(maxDeadline)*time.Microsecond), zap.Int("known targets", len(cfg.Known.Targets)))
@@ -172,7 +172,7 @@
 		// Requests that are held were accepted under the old settings; none may be handled partly by each.
 		in.log.Warn("its limits or settings differ from those in use, which hold until the next start")
 	}
-	in.watch.Use(cfg.Discovery)
+	in.watch.SetAddress(cfg.Discovery)
 	return nil
 }
 
