--- a/cmd/appleplank/initiator.go
+++ b/cmd/appleplank/initiator.go
@@ -43,7 +43,7 @@
 			if err != nil {
 				return err
 			}
-			in.Confine()
+			in.ApplyLimits()
 			return in.Run(first, reload)
 		},
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -108,8 +108,8 @@
 	return in, nil
 }
 
-// Confine applies the limits of the configuration to the memory and the threads of the process.
-func (in *Initiator) Confine() {
+// ApplyLimits applies the limits of the configuration to the memory and the threads of the process.
+func (in *Initiator) ApplyLimits() {
 	debug.SetMemoryLimit(in.bounds.Heap)
 	if in.bounds.Cores > 0 {
 		runtime.GOMAXPROCS(in.bounds.Cores)
