--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -81,8 +81,8 @@
 	s.loop.Post(input{kind: inputAttemptEnded, attempt: a, result: res})
 }
 
-// Nodes reports changed targets, and the list of all of them.
-func (s *Shell) Nodes(changed []logic.Node, all []members.Target) {
+// UpdateTargets reports changed targets, and the list of all of them.
+func (s *Shell) UpdateTargets(changed []logic.Node, all []members.Target) {
 	s.loop.Post(input{kind: inputNodes, changed: changed, endpoints: Endpoints(all)})
 }
 
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -29,7 +29,7 @@
 // Sink receives the targets.
 type Sink interface {
 	Now() logic.Micros
-	Nodes(changed []logic.Node, all []members.Target)
+	UpdateTargets(changed []logic.Node, all []members.Target)
 }
 
 // Watch keeps the sink informed of the targets that discovery lists.
@@ -56,7 +56,7 @@
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	follow, nodes := members.NewFollower(sink.Now(), known)
 	w.follow = follow
-	sink.Nodes(nodes, follow.Targets())
+	sink.UpdateTargets(nodes, follow.Targets())
 	return w
 }
 
@@ -234,7 +234,7 @@
 		return errRevisionReset
 	}
 	if len(changed) > 0 {
-		w.sink.Nodes(changed, w.follow.Targets())
+		w.sink.UpdateTargets(changed, w.follow.Targets())
 	}
 	return nil
 }
