--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -48,7 +48,7 @@
 	heap.Push(&h.attempts, a)
 }
 
-// ShortenDeadline moves the time-out of an attempt forward to deadline, unless it is due earlier.
+// ShortenDeadline moves the deadline of an attempt forward to the given time, unless it is earlier.
 func (h *Host) ShortenDeadline(a *Attempt, deadline logic.Micros) {
 	if a.Deadline > deadline && a.heapPosition > 0 {
 		a.Deadline = deadline
@@ -69,8 +69,8 @@
 	return true
 }
 
-// PopExpired stops tracking an attempt whose time-out is due and returns it, or nil if there is none. The caller cancels
-// the attempt and reports its end to logic.
+// PopExpired stops tracking an attempt whose deadline has passed and returns it, or nil if there is none. The caller
+// cancels the attempt and reports its end to logic.
 func (h *Host) PopExpired(now logic.Micros) *Attempt {
 	if len(h.attempts) == 0 || h.attempts[0].Deadline > now {
 		return nil
@@ -121,9 +121,9 @@
 }
 
 // Pending returns the number of attempts that logic waits for and the number of timers that are set.
-func (h *Host) Pending() (attempts, wakes int) { return len(h.attempts), len(h.timers) }
+func (h *Host) Pending() (attempts, timers int) { return len(h.attempts), len(h.timers) }
 
-// deadlineHeap is a heap of attempts, ordered by the time at which they time out.
+// deadlineHeap is a heap of attempts, ordered by their deadlines.
 type deadlineHeap []*Attempt
 
 func (h deadlineHeap) Len() int { return len(h) }
--- a/internal/drive/loop.go
+++ b/internal/drive/loop.go
@@ -25,7 +25,7 @@
 
 	queueMu          sync.Mutex
 	queue            []T
-	stepDue          atomic.Bool // the timer has fired, or a step was requested by Kick
+	stepDue          atomic.Bool // the timer has fired, or a step was requested by ForceStep
 	intervalTimerSet atomic.Bool // intervalTimer is running
 	intervalTimer    *time.Timer
 	Steps            atomic.Uint64
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -30,10 +30,10 @@
 
 const (
 	actionStart actionKind = iota
-	actionDrop
-	actionRecall
+	actionCancel
+	actionCancelUnsent
 	actionAnswer
-	actionDone
+	actionRelease
 	actionLog
 )
 
@@ -109,8 +109,8 @@
 	})
 }
 
-// ClientGone ends a request whose client has left and returns it to its front. It returns false if the request was already
-// answered.
+// ClientGone ends a request whose client has left and returns it to its front. It returns false if the request was
+// already answered.
 func (c *Core) ClientGone(now logic.Micros, r *Request) bool {
 	e := r.entry
 	if e == nil || e.request != r {
@@ -123,8 +123,8 @@
 	return true
 }
 
-// Shutdown begins the shutdown: all requests, held ones and new ones, must be answered by the deadline. Without this bound,
-// requests whose clients would wait for 29 s were still held when the process exited.
+// Shutdown begins the shutdown: all requests, held ones and new ones, must be answered by the deadline. Without this
+// bound, requests whose clients would wait for 29 s were still held when the process exited.
 func (c *Core) Shutdown(deadline logic.Micros) {
 	c.shutdownDeadline = deadline
 	for _, e := range c.entries {
@@ -137,11 +137,11 @@
 }
 
 // endRequest returns a request to its front. Nothing more is sent for it: attempts in flight that are not sent
-// completely, because their connection is still being set up, are recalled. Without the recall, such attempts were sent
+// completely, because their connection is still being set up, are cancelled. Without this, such attempts were sent
 // 0.2 s after their client had left.
 func (c *Core) endRequest(e *entry) {
 	for _, a := range e.outstanding {
-		c.actions = append(c.actions, action{kind: actionRecall, attempt: a})
+		c.actions = append(c.actions, action{kind: actionCancelUnsent, attempt: a})
 	}
 	e.request.entry = nil
 	e.request = nil
@@ -156,7 +156,8 @@
 	}
 }
 
-// AttemptEnded takes the end of an attempt from the back. If the attempt has timed out before, logic does not see its result.
+// AttemptEnded takes the end of an attempt from the back. If the attempt has timed out before, logic does not see its
+// result.
 func (c *Core) AttemptEnded(now logic.Micros, a *Attempt, res Result) {
 	c.tally.Out--
 	if c.host.MarkEnded(&a.Attempt) {
@@ -164,7 +165,7 @@
 	} else {
 		c.tally.LateEnds++
 	}
-	c.actions = append(c.actions, action{kind: actionDone, attempt: a})
+	c.actions = append(c.actions, action{kind: actionRelease, attempt: a})
 }
 
 func (c *Core) reportEnd(now logic.Micros, a *Attempt, res Result) {
@@ -237,7 +238,7 @@
 func (c *Core) step(now logic.Micros) []action {
 	for a := c.host.PopExpired(now); a != nil; a = c.host.PopExpired(now) {
 		x := a.Owner.(*Attempt)
-		c.actions = append(c.actions, action{kind: actionDrop, attempt: x})
+		c.actions = append(c.actions, action{kind: actionCancel, attempt: x})
 		c.reportEnd(now, x, Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
 	}
 	for _, x := range c.host.Run(now) {
--- a/internal/platform/core/core_test.go
+++ b/internal/platform/core/core_test.go
@@ -36,9 +36,9 @@
 
 // sentAttempt is an attempt that the back has not ended.
 type sentAttempt struct {
-	request  *Request
-	sent     bool // completely, up to its last byte
-	recalled bool
+	request   *Request
+	sent      bool // completely, up to its last byte
+	cancelled bool
 }
 
 // runSteps runs steps and performs their actions as the shell does; attempts that are started go into outstanding.
@@ -51,17 +51,17 @@
 					panic("an attempt in flight was started again")
 				}
 				outstanding[a.attempt] = &sentAttempt{request: a.request}
-			case actionDrop, actionRecall:
+			case actionCancel, actionCancelUnsent:
 				x := outstanding[a.attempt]
-				if x == nil && a.kind == actionDrop {
-					panic("an attempt that is not in flight was dropped")
+				if x == nil && a.kind == actionCancel {
+					panic("an attempt that is not in flight was cancelled")
 				}
 				if x != nil {
-					x.recalled = x.recalled || !x.sent
+					x.cancelled = x.cancelled || !x.sent
 				}
 			case actionAnswer:
 				a.request.Front.Answer(now, a.request, a.answer)
-			case actionDone:
+			case actionRelease:
 				c.recycle(a.attempt)
 			}
 		}
@@ -108,7 +108,7 @@
 				}
 			}
 			for a, x := range outstanding {
-				if !x.sent && !x.recalled && rng.IntN(4) == 0 {
+				if !x.sent && !x.cancelled && rng.IntN(4) == 0 {
 					if x.sent = true; finished[x.request] {
 						t.Fatalf("seed %d: an attempt was sent after its request had finished", seed)
 					}
--- a/internal/platform/core/request.go
+++ b/internal/platform/core/request.go
@@ -8,7 +8,7 @@
 // Request is a client's request. The core uses it from the time its front submits it until it is answered or its client
 // has left; the front must not change the contents of its slices until then.
 type Request struct {
-	Method, Target, ID, IdempotencyKey []byte // Once is the idempotency key by which targets detect repeated requests
+	Method, Target, ID, IdempotencyKey []byte // IdempotencyKey lets targets detect repeated requests
 	Body                               []byte
 
 	Class, Plan, Cell int
@@ -45,7 +45,7 @@
 	Answer(now logic.Micros, r *Request, a Answer)
 }
 
-// Attempt is one send of a request. It is valid from [Back].Start until [Back].Done.
+// Attempt is one send of a request. It is valid from [Back].Start until [Back].Release.
 type Attempt struct {
 	drive.Attempt
 	SendDeadline logic.Micros // it must be sent completely by then, or not at all; 0: no bound
@@ -60,8 +60,8 @@
 	Used       int // as in [logic.AttemptEnded]
 	Elsewhere  int
 	Load       logic.Load
-	Body       []byte // of an answer; valid until [Back].Done
-	BodyStable bool   // the body stays valid after Done
+	Body       []byte // of an answer; valid until [Back].Release
+	BodyStable bool   // the body stays valid after Release
 }
 
 // Back sends attempts to targets. Its methods are called while the core's lock is held and must not block. It reports
@@ -79,8 +79,8 @@
 	SetTargets(now logic.Micros, list []Endpoint)
 }
 
-// Endpoint identifies a running target and its address. An attempt is not sent if the place of its target has changed
-// since the attempt was started.
+// Endpoint identifies a running target and its address. An attempt is not sent if the endpoint of its target has
+// changed since the attempt was started.
 type Endpoint struct {
 	Node        logic.NodeID
 	Address     string
--- a/internal/platform/core/shell.go
+++ b/internal/platform/core/shell.go
@@ -128,13 +128,13 @@
 		switch a.kind {
 		case actionStart:
 			s.back.Start(now, a.attempt, a.request)
-		case actionDrop:
+		case actionCancel:
 			s.back.Cancel(a.attempt)
-		case actionRecall:
+		case actionCancelUnsent:
 			s.back.CancelUnsent(a.attempt)
 		case actionAnswer:
 			a.request.Front.Answer(now, a.request, a.answer)
-		case actionDone:
+		case actionRelease:
 			s.back.Release(now, a.attempt)
 			c.recycle(a.attempt)
 		case actionLog:
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -43,7 +43,7 @@
 	follow        *members.Follower
 	firstNews     sync.Once
 	cancelCurrent context.CancelFunc // stops the current watch
-	useCount      int                // number of calls of Use
+	useCount      int                // number of calls of SetAddress
 	running       sync.WaitGroup
 	ctx           context.Context
 	stop          context.CancelFunc
@@ -60,8 +60,8 @@
 	return w
 }
 
-// SetAddress watches discovery at the given address from now on. A watch at another address ends once this one has received a
-// list or a heartbeat.
+// SetAddress watches discovery at the given address from now on. A watch at another address ends once this one has
+// received a list or a heartbeat.
 func (w *Watch) SetAddress(address string) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	w.mu.Lock()
--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -37,7 +37,7 @@
 	Request logic.RequestID
 	Number  int
 	Node    logic.NodeID
-	Outcome string // core: one of Words, or details of the event; wire: what was read, and whether all was written
+	Outcome string // core: one of OutcomeNames, or details of the event; wire: what was read, and whether all was written
 	Took    logic.Micros
 	Load    float64 // requests waiting at the node, as reported; negative: no report
 }
