--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Discovery follows a discovery controller: it reads the log page when it connects, when told of a change, and at
-// least every so often.
+// Discovery follows a discovery controller: it reads the log page after connecting, when notified of a change, and at
+// least once per interval Every.
 type Discovery struct {
 	Address string
 	HostNQN string
@@ -26,30 +26,31 @@
 	Seed    uint64
 	Now     func() logic.Micros
 	Log     *zap.Logger
-	// Listed is given each page read, with the number of the connection it came by, from one.
+	// Listed is called with each page read and the number of the connection that it was read over, counted from one.
 	Listed func(session int, d nvme.Discovery)
 }
 
-// mostEntries bounds a discovery log page.
-const mostEntries = 4096
+// maxEntries is the maximum number of entries of a discovery log page.
+const maxEntries = 4096
 
-// Run follows until ctx ends.
+// Run follows the discovery controller until ctx is done.
 func (d *Discovery) Run(ctx context.Context) error {
 	link := links.New(0, d.Seed)
 	for n := 1; ; n++ {
 		if !sleep(ctx, time.Duration(link.DialAt()-d.Now())*time.Microsecond, nil) {
 			return nil
 		}
-		err := d.follow(ctx, n, link)
+		err := d.runSession(ctx, n, link)
 		if ctx.Err() != nil {
 			return nil
 		}
-		d.Log.Warn("directory lost", zap.String("address", d.Address), zap.Error(err))
+		d.Log.Warn("discovery controller lost", zap.String("address", d.Address), zap.Error(err))
 		link.Down(d.Now())
 	}
 }
 
-func (d *Discovery) follow(parent context.Context, session int, link *links.Link) error {
+// runSession connects to the discovery controller and reads its log page until the connection breaks.
+func (d *Discovery) runSession(parent context.Context, session int, link *links.Link) error {
 	g, ctx := errgroup.WithContext(parent)
 	setup, cancel := context.WithTimeoutCause(ctx, d.Connect, fmt.Errorf("not set up within %v", d.Connect))
 	defer cancel()
@@ -60,8 +61,8 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	q := newQueue(0, conn, 32, d.Now)
-	q.heard, q.stray = func() {}, func() error { return nil }
-	q.finished = answerBroken
+	q.onReceive, q.onUnexpected = func() {}, func() error { return nil }
+	q.onTaskDone = failCall
 	limit, _ := setup.Deadline()
 	conn.SetDeadline(limit)
 	if err := q.handshake(false); err != nil {
@@ -70,17 +71,18 @@
 	}
 	conn.SetDeadline(time.Time{})
 	q.run(ctx, g)
-	g.Go(func() error { return d.listen(ctx, setup, session, q, func() { link.Up(d.Now()) }) })
+	g.Go(func() error { return d.poll(ctx, setup, session, q, func() { link.Up(d.Now()) }) })
 	err = g.Wait()
 	conn.Close()
-	q.sweep()
+	q.failOutstanding()
 	return err
 }
 
-func (d *Discovery) listen(ctx, setup context.Context, session int, q *queue, up func()) error {
-	const keepAlive = 2 * time.Minute // the least time between pages is shorter, and each is a sign of life
+// poll sets up the controller and reads its log page until ctx is done or an error occurs.
+func (d *Discovery) poll(ctx, setup context.Context, session int, q *queue, up func()) error {
+	const keepAlive = 2 * time.Minute // pages are read more often, and each read shows that the host is alive
 	data := nvme.ConnectData{HostID: d.HostID, CNTLID: nvme.CNTLIDAny, SubNQN: nvme.DiscoveryNQN, HostNQN: d.HostNQN}
-	if _, err := q.call(setup, "Connect to the directory", nvme.Connect(0, 32, uint32(keepAlive.Milliseconds())), data.Marshal(), nil); err != nil {
+	if _, err := q.call(setup, "Connect to the discovery controller", nvme.Connect(0, 32, uint32(keepAlive.Milliseconds())), data.Marshal(), nil); err != nil {
 		return err
 	}
 	if _, err := enable(setup, q); err != nil {
@@ -102,11 +104,11 @@
 		if _, err := q.call(setup, "Set Features Async Event", c, nil, nil); err != nil && !isStatus(err) {
 			return err
 		}
-		q.submit(&task{reply: events, parts: []part{{cmd: nvme.New(nvme.OpAsyncEvent, 0)}}})
+		q.submit(&task{reply: events, commands: []command{{sqe: nvme.New(nvme.OpAsyncEvent, 0)}}})
 	}
 	up()
-	alive := time.NewTicker(keepAlive / 4)
-	defer alive.Stop()
+	keepAliveTicker := time.NewTicker(keepAlive / 4)
+	defer keepAliveTicker.Stop()
 	for {
 		read, done := context.WithTimeout(ctx, d.Connect)
 		l, err := readDiscovery(read, q)
@@ -126,8 +128,8 @@
 			if r.err != nil {
 				return r.err
 			}
-			q.submit(&task{reply: events, parts: []part{{cmd: nvme.New(nvme.OpAsyncEvent, 0)}}})
-		case <-alive.C:
+			q.submit(&task{reply: events, commands: []command{{sqe: nvme.New(nvme.OpAsyncEvent, 0)}}})
+		case <-keepAliveTicker.C:
 			t.Stop()
 			if _, err := q.call(ctx, "Keep Alive", nvme.New(nvme.OpKeepAlive, 0), nil, nil); err != nil && !isStatus(err) {
 				return err
@@ -136,39 +138,40 @@
 	}
 }
 
-// readDiscovery reads the page until its generation is the same before and after (Base, section 5.16.1.23).
+// readDiscovery reads the log page until its generation is the same before and after (Base, section 5.16.1.23), at most
+// 8 times.
 func readDiscovery(ctx context.Context, q *queue) (l nvme.Discovery, err error) {
 	for range 8 {
-		head := make([]byte, nvme.DiscoveryHeaderLen)
+		header := make([]byte, nvme.DiscoveryHeaderLen)
 		get := func(off uint64, b []byte) error {
 			_, err := q.call(ctx, "Get Log Page discovery", nvme.LogPage(nvme.LogDiscovery, 0, off, uint32(len(b)), false), nil, b)
 			return err
 		}
-		if err := get(0, head); err != nil {
+		if err := get(0, header); err != nil {
 			return l, err
 		}
-		gen, n, err := nvme.ParseDiscoveryHeader(head)
+		gen, n, err := nvme.ParseDiscoveryHeader(header)
 		if err != nil {
 			return l, err
 		}
-		if n > mostEntries {
-			return l, fmt.Errorf("nvme: the directory names %d nodes, most is %d", n, mostEntries)
+		if n > maxEntries {
+			return l, fmt.Errorf("nvme: the discovery log page has %d entries, the maximum is %d", n, maxEntries)
 		}
-		whole := make([]byte, nvme.DiscoveryHeaderLen+int(n)*nvme.DiscoveryEntryLen)
-		copy(whole, head)
+		page := make([]byte, nvme.DiscoveryHeaderLen+int(n)*nvme.DiscoveryEntryLen)
+		copy(page, header)
 		const chunk = 64 << 10
-		for off := nvme.DiscoveryHeaderLen; off < len(whole); off += chunk {
-			if err := get(uint64(off), whole[off:min(off+chunk, len(whole))]); err != nil {
+		for off := nvme.DiscoveryHeaderLen; off < len(page); off += chunk {
+			if err := get(uint64(off), page[off:min(off+chunk, len(page))]); err != nil {
 				return l, err
 			}
 		}
-		if err := get(0, head); err != nil {
+		if err := get(0, header); err != nil {
 			return l, err
 		}
-		if again, _, err := nvme.ParseDiscoveryHeader(head); err != nil || again != gen {
+		if again, _, err := nvme.ParseDiscoveryHeader(header); err != nil || again != gen {
 			continue
 		}
-		return nvme.ParseDiscovery(whole)
+		return nvme.ParseDiscovery(page)
 	}
 	return l, errors.New("nvme: the discovery log page changes faster than it can be read")
 }
--- a/internal/nvme/initiator/initiator_test.go
+++ b/internal/nvme/initiator/initiator_test.go
@@ -18,14 +18,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sink counts the ends of attempts: each must end once.
+// sink records the ends of attempts: each must end exactly once.
 type sink struct {
-	t     *testing.T
-	mu    sync.Mutex
-	ended map[*block.Attempt]block.Result
-	state []bool // draining, as told
-	ages  []logic.Micros
-	lost  int
+	t      *testing.T
+	mu     sync.Mutex
+	ended  map[*block.Attempt]block.Result
+	drains []bool // as reported
+	ages   []logic.Micros
+	lost   int
 }
 
 func (s *sink) AttemptEnded(a *block.Attempt, r block.Result) {
@@ -45,26 +45,26 @@
 func (s *sink) Refused(logic.NodeID) {}
 func (s *sink) Draining(_ logic.NodeID, is bool) {
 	s.mu.Lock()
-	s.state = append(s.state, is)
+	s.drains = append(s.drains, is)
 	s.mu.Unlock()
 }
 func (s *sink) Lost(logic.NodeID, error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }
 
 func (s *sink) count() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.ended) }
 
-func (s *sink) of(a *block.Attempt) (block.Result, bool) {
+func (s *sink) result(a *block.Attempt) (block.Result, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.ended[a]
 	return r, ok
 }
 
-const space = 32 << 20
+const namespaceSize = 32 << 20
 
-// link is a node of ours at a stand-in.
-func link(t *testing.T, cfg standin.NodeConfig, change func(*initiator.Config)) (*standin.Node, *initiator.Node, *sink) {
+// connectNode starts a stand-in node and an initiator that is connected to it.
+func connectNode(t *testing.T, cfg standin.NodeConfig, change func(*initiator.Config)) (*standin.Node, *initiator.Node, *sink) {
 	t.Helper()
-	cfg.NQN, cfg.Namespaces = "nqn.test", map[uint32]int64{1: space}
+	cfg.NQN, cfg.Namespaces = "nqn.test", map[uint32]int64{1: namespaceSize}
 	peer := standin.NewNode(cfg)
 	if err := peer.Up(true); err != nil {
 		t.Fatal(err)
@@ -82,11 +82,11 @@
 	done := make(chan struct{})
 	go func() { n.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done; peer.Crash() })
-	wait(t, "the connection", n.Up)
+	waitFor(t, "the connection", n.Up)
 	return peer, n, s
 }
 
-func wait(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -95,7 +95,7 @@
 	}
 }
 
-func attempt(k block.Kind, off, n int64, fill byte) *block.Attempt {
+func newAttempt(k block.Kind, off, n int64, fill byte) *block.Attempt {
 	a := &block.Attempt{Kind: k, Namespace: 1, Offset: off, Len: n}
 	if k == block.Read || k == block.Write {
 		a.Buffer = block.NewBuffer(n, nil)
@@ -106,7 +106,8 @@
 	return a
 }
 
-// A plain conforming node and one with every option: data of all sizes goes there and back, split as it asks.
+// Nodes with different options, from a plain conforming one to one with all of them: data of several sizes is written
+// and read back, split as the node requires.
 func TestKindsOfNodes(t *testing.T) {
 	for name, cfg := range map[string]standin.NodeConfig{
 		"plain":      {Plain: true},
@@ -116,12 +117,12 @@
 		"4 KiB":      {BlockSize: 4096, Plain: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			peer, n, s := link(t, cfg, func(c *initiator.Config) { c.Digests = cfg.Digests; c.Queues = 2 })
+			peer, n, s := connectNode(t, cfg, func(c *initiator.Config) { c.Digests = cfg.Digests; c.Queues = 2 })
 			do := func(a *block.Attempt) block.Result {
 				t.Helper()
 				n.Start(a)
-				wait(t, "an end", func() bool { _, ok := s.of(a); return ok })
-				r, _ := s.of(a)
+				waitFor(t, "an end", func() bool { _, ok := s.result(a); return ok })
+				r, _ := s.result(a)
 				if r.Outcome != logic.OK {
 					t.Fatalf("%v of %d bytes: outcome %v", a.Kind, a.Len, r.Outcome)
 				}
@@ -129,65 +130,65 @@
 			}
 			for i, size := range []int64{4096, 12288, 100 << 12} {
 				off, fill := int64(i)<<20, byte(i+1)
-				do(attempt(block.Write, off, size, fill))
-				r := attempt(block.Read, off, size, 0)
+				do(newAttempt(block.Write, off, size, fill))
+				r := newAttempt(block.Read, off, size, 0)
 				res := do(r)
 				if !bytes.Equal(r.Buffer.B, bytes.Repeat([]byte{fill}, int(size))) {
-					t.Errorf("%d bytes come back changed", size)
+					t.Errorf("%d bytes read back differ", size)
 				}
 				if told := res.Load != logic.NoLoad; told == cfg.Plain {
 					t.Errorf("a load report came: %v, a plain node: %v", told, cfg.Plain)
 				}
 			}
-			do(attempt(block.WriteZeroes, 4096, 4096, 0))
-			do(attempt(block.Discard, 0, 4096, 0))
-			do(attempt(block.Flush, 0, 0, 0))
+			do(newAttempt(block.WriteZeroes, 4096, 4096, 0))
+			do(newAttempt(block.Discard, 0, 4096, 0))
+			do(newAttempt(block.Flush, 0, 0, 0))
 			b := make([]byte, 4096)
 			if peer.Read(1, 4096, b); !bytes.Equal(b, make([]byte, 4096)) {
-				t.Error("write zeroes left something")
+				t.Error("write zeroes left nonzero bytes")
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if (s.ages[0] < 0) != cfg.Plain {
 				t.Errorf("age %d of a node that is plain: %v", s.ages[0], cfg.Plain)
 			}
-			if len(s.state) == 0 || s.state[0] {
-				t.Errorf("draining is told as %v", s.state)
+			if len(s.drains) == 0 || s.drains[0] {
+				t.Errorf("draining is reported as %v", s.drains)
 			}
 		})
 	}
 }
 
-// A reset with many attempts out: those that were begun may have run, those that were not never did, and no buffer is
-// let go of before its connection's goroutines have ended.
+// After a reset with many outstanding attempts, those whose sending had started may have been executed and the others
+// never were. No buffer is released before the goroutines of its connection have ended.
 func TestResetSomeWritten(t *testing.T) {
-	peer, n, s := link(t, standin.NodeConfig{InCapsule: 256 << 10, Plain: true}, nil)
+	peer, n, s := connectNode(t, standin.NodeConfig{InCapsule: 256 << 10, Plain: true}, nil)
 	peer.Set(func(t *standin.Trouble) { t.Blind = true })
-	first := attempt(block.Read, 0, 512, 0) // taken by the readers that wait already
+	first := newAttempt(block.Read, 0, 512, 0) // taken by the readers that are already waiting
 	n.Start(first)
-	wait(t, "the first end", func() bool { return s.count() == 1 })
+	waitFor(t, "the first end", func() bool { return s.count() == 1 })
 	delete(s.ended, first)
 	var all []*block.Attempt
 	for i := range 60 {
-		a := attempt(block.Write, int64(i)*256<<10, 256<<10, 1)
+		a := newAttempt(block.Write, int64(i)*256<<10, 256<<10, 1)
 		all = append(all, a)
 		n.Start(a)
 	}
-	time.Sleep(50 * time.Millisecond) // the sockets fill up
+	time.Sleep(50 * time.Millisecond) // until the socket buffers are full
 	if s.count() != 0 {
 		t.Fatalf("%d ended before the reset", s.count())
 	}
 	peer.Reset()
-	wait(t, "all ends", func() bool { return s.count() == len(all) })
+	waitFor(t, "all ends", func() bool { return s.count() == len(all) })
 	got := map[logic.Outcome]int{}
 	seenMoot := false
 	for i, a := range all {
-		r, _ := s.of(a)
+		r, _ := s.result(a)
 		got[r.Outcome]++
 		if r.Outcome == logic.Moot {
 			seenMoot = true
 		} else if seenMoot {
-			t.Errorf("attempt %d was begun, an earlier one was not", i)
+			t.Errorf("attempt %d was sent, an earlier one was not", i)
 		}
 	}
 	if got[logic.Reset] == 0 || got[logic.Moot] == 0 || got[logic.Reset]+got[logic.Moot] != len(all) {
@@ -196,119 +197,120 @@
 	peer.Set(func(t *standin.Trouble) { t.Blind = false })
 }
 
-// A dropped attempt whose answer comes late, and answers given twice or under a wrong id, meet no other command.
+// An answer that arrives after its attempt was dropped, arrives twice or has a wrong command identifier must not match
+// another command.
 func TestLateTwiceAndWrong(t *testing.T) {
-	peer, n, s := link(t, standin.NodeConfig{Base: time.Millisecond}, nil)
+	peer, n, s := connectNode(t, standin.NodeConfig{Base: time.Millisecond}, nil)
 	peer.Set(func(t *standin.Trouble) { t.Hang = true })
-	late := attempt(block.Read, 0, 4096, 0xaa)
+	late := newAttempt(block.Read, 0, 4096, 0xaa)
 	n.Start(late)
 	time.Sleep(10 * time.Millisecond)
 	n.Drop(late)
 	peer.Set(func(t *standin.Trouble) { t.Hang = false; t.Twice = 1 })
-	wait(t, "the late end", func() bool { _, ok := s.of(late); return ok })
+	waitFor(t, "the late end", func() bool { _, ok := s.result(late); return ok })
 	for i := range 40 {
-		w := attempt(block.Write, int64(i)*4096, 4096, byte(i))
+		w := newAttempt(block.Write, int64(i)*4096, 4096, byte(i))
 		n.Start(w)
-		wait(t, "a write's end", func() bool { _, ok := s.of(w); return ok })
-		r := attempt(block.Read, int64(i)*4096, 4096, 0)
+		waitFor(t, "a write's end", func() bool { _, ok := s.result(w); return ok })
+		r := newAttempt(block.Read, int64(i)*4096, 4096, 0)
 		n.Start(r)
-		wait(t, "a read's end", func() bool { _, ok := s.of(r); return ok })
-		if res, _ := s.of(r); res.Outcome == logic.OK && r.Buffer.B[0] != byte(i) {
-			t.Fatalf("read %d has another's data", i)
+		waitFor(t, "a read's end", func() bool { _, ok := s.result(r); return ok })
+		if res, _ := s.result(r); res.Outcome == logic.OK && r.Buffer.B[0] != byte(i) {
+			t.Fatalf("read %d returned the data of another command", i)
 		}
 	}
 	if n.Counts.Strays.Load() == 0 {
 		t.Error("no stray answer was counted")
 	}
 	peer.Set(func(t *standin.Trouble) { *t = standin.Trouble{Wrong: 1} })
-	w := attempt(block.Read, 0, 4096, 0)
+	w := newAttempt(block.Read, 0, 4096, 0)
 	n.Start(w)
-	wait(t, "the stray", func() bool {
-		return n.Counts.Strays.Load() > 80 || n.Counts.Resets.Load() > 0 || s.count() > 82 || strays(n)
+	waitFor(t, "the stray", func() bool {
+		return n.Counts.Strays.Load() > 80 || n.Counts.Resets.Load() > 0 || s.count() > 82 || hasManyStrays(n)
 	})
-	if _, ended := s.of(w); ended && n.Counts.Resets.Load() == 0 {
+	if _, ended := s.result(w); ended && n.Counts.Resets.Load() == 0 {
 		t.Error("an answer under another id ended the command")
 	}
 	n.Drop(w)
 }
 
-func strays(n *initiator.Node) bool { return n.Counts.Strays.Load() > 40 }
+func hasManyStrays(n *initiator.Node) bool { return n.Counts.Strays.Load() > 40 }
 
-// A write whose data was not asked for before it was dropped never gets it: it could land on top of later ones.
+// A write that is dropped before its data was requested never gets the data: it could overwrite later writes.
 func TestDroppedWriteGetsNoData(t *testing.T) {
-	peer, n, s := link(t, standin.NodeConfig{Plain: true}, nil) // no in-capsule data: all goes by R2T
+	peer, n, s := connectNode(t, standin.NodeConfig{Plain: true}, nil) // no in-capsule data: all data goes by R2T
 	peer.Set(func(t *standin.Trouble) { t.Blind = true })
 	time.Sleep(20 * time.Millisecond)
-	first := attempt(block.Read, 0, 512, 0) // the reader that waits for the next PDU takes this one
+	first := newAttempt(block.Read, 0, 512, 0) // taken by the reader that waits for the next PDU
 	n.Start(first)
-	w := attempt(block.Write, 0, 64<<10, 7)
+	w := newAttempt(block.Write, 0, 64<<10, 7)
 	n.Start(w)
 	time.Sleep(20 * time.Millisecond)
 	n.Drop(w)
 	peer.Set(func(t *standin.Trouble) { t.Blind = false })
-	wait(t, "the read's end", func() bool { _, ok := s.of(first); return ok })
+	waitFor(t, "the read's end", func() bool { _, ok := s.result(first); return ok })
 	time.Sleep(50 * time.Millisecond)
 	b := make([]byte, 64<<10)
 	if peer.Read(1, 0, b); !bytes.Equal(b, make([]byte, 64<<10)) {
-		t.Error("the dropped write landed")
+		t.Error("the dropped write was executed")
 	}
 }
 
-// A node that takes connections and never answers, one that sends a byte a second, and one that is not there: attempts
-// end at once as not connected, and the node is found again.
+// With a node that accepts connections and never answers, one that sends a byte a second, and one that is gone,
+// attempts fail at once as not connected, and the node is connected again when it recovers.
 func TestHardNodes(t *testing.T) {
-	peer, n, s := link(t, standin.NodeConfig{}, func(c *initiator.Config) { c.Connect = 150 * time.Millisecond; c.KeepAlive = 300 * time.Millisecond })
-	ends := func(what string, want logic.Outcome) {
+	peer, n, s := connectNode(t, standin.NodeConfig{}, func(c *initiator.Config) { c.Connect = 150 * time.Millisecond; c.KeepAlive = 300 * time.Millisecond })
+	expectOutcome := func(what string, want logic.Outcome) {
 		t.Helper()
-		a := attempt(block.Read, 0, 4096, 0)
+		a := newAttempt(block.Read, 0, 4096, 0)
 		n.Start(a)
-		wait(t, what, func() bool { _, ok := s.of(a); return ok })
-		if r, _ := s.of(a); r.Outcome != want {
+		waitFor(t, what, func() bool { _, ok := s.result(a); return ok })
+		if r, _ := s.result(a); r.Outcome != want {
 			t.Errorf("%s: outcome %v, want %v", what, r.Outcome, want)
 		}
 	}
 	for what, trouble := range map[string]standin.Trouble{"deaf": {Deaf: true}, "drip": {Drip: 1}} {
 		peer.Set(func(t *standin.Trouble) { *t = trouble })
 		peer.Reset()
-		wait(t, what+": lost", func() bool { return !n.Up() })
-		ends(what, logic.ConnectFailed)
+		waitFor(t, what+": lost", func() bool { return !n.Up() })
+		expectOutcome(what, logic.ConnectFailed)
 		time.Sleep(200 * time.Millisecond)
 		peer.Set(func(t *standin.Trouble) { *t = standin.Trouble{} })
-		wait(t, what+": found again", n.Up)
-		ends(what+": after", logic.OK)
+		waitFor(t, what+": found again", n.Up)
+		expectOutcome(what+": after", logic.OK)
 	}
-	peer.Set(func(t *standin.Trouble) { t.Blind = true }) // takes everything, answers nothing: the keep-alive finds out
-	wait(t, "silence", func() bool { return !n.Up() })
+	peer.Set(func(t *standin.Trouble) { t.Blind = true }) // reads everything, answers nothing: detected by the keep-alive
+	waitFor(t, "silence", func() bool { return !n.Up() })
 	peer.Set(func(t *standin.Trouble) { t.Blind = false })
 	peer.Crash()
-	ends("crashed", logic.ConnectFailed)
+	expectOutcome("crashed", logic.ConnectFailed)
 	peer.Up(false)
-	wait(t, "back", n.Up)
-	ends("back", logic.OK)
+	waitFor(t, "back", n.Up)
+	expectOutcome("back", logic.OK)
 }
 
-// The bound on a node's queue: what finds no place is turned away at once, and nothing is lost.
+// Attempts that exceed the depth of the node's queues are refused at once, and none is lost.
 func TestDepth(t *testing.T) {
-	peer, n, s := link(t, standin.NodeConfig{Base: time.Millisecond}, func(c *initiator.Config) { c.Depth = 8; c.Queues = 2 })
+	peer, n, s := connectNode(t, standin.NodeConfig{Base: time.Millisecond}, func(c *initiator.Config) { c.Depth = 8; c.Queues = 2 })
 	peer.Set(func(t *standin.Trouble) { t.Hang = true })
 	for range 11 {
-		n.Start(attempt(block.Read, 0, 4096, 0))
+		n.Start(newAttempt(block.Read, 0, 4096, 0))
 	}
 	if s.count() != 3 {
-		t.Errorf("%d of 11 turned away with room for 8, want 3", s.count())
+		t.Errorf("%d of 11 refused with a depth of 8, want 3", s.count())
 	}
 	peer.Set(func(t *standin.Trouble) { t.Hang = false })
-	wait(t, "all ends", func() bool { return s.count() == 11 })
+	waitFor(t, "all ends", func() bool { return s.count() == 11 })
 }
 
-// A node that drains says so by its ANA log page, told by an event.
+// A draining node is reported through its ANA log page, which an event announces.
 func TestDrainEvent(t *testing.T) {
-	peer, _, s := link(t, standin.NodeConfig{}, nil)
-	last := func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.state) > 0 && s.state[len(s.state)-1] }
+	peer, _, s := connectNode(t, standin.NodeConfig{}, nil)
+	draining := func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.drains) > 0 && s.drains[len(s.drains)-1] }
 	for range 3 {
 		peer.Drain(true)
-		wait(t, "draining", last)
+		waitFor(t, "draining", draining)
 		peer.Drain(false)
-		wait(t, "ready again", func() bool { return !last() })
+		waitFor(t, "ready again", func() bool { return !draining() })
 	}
 }
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -1,6 +1,6 @@
-// Package initiator is the host side of NVMe over TCP: for each storage node an admin queue and some I/O queues,
-// each a connection of its own, kept up as package links decides. It carries attempts out and tells their ends;
-// it never tries one again.
+// Package initiator implements the host side of NVMe over TCP. For each storage node it keeps up an admin queue and
+// some I/O queues, each on a separate connection; package links decides when to connect and when to give up a
+// connection. It carries out attempts and reports their ends; it never retries one.
 package initiator
 
 import (
@@ -24,93 +24,94 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what the initiator is told of a node and of itself.
+// Config holds the settings of a [Node].
 type Config struct {
 	ID         logic.NodeID
 	NQN        string
 	HostNQN    string
 	HostID     [16]byte
-	Namespaces []uint32 // those that extents lie on
-	Depth      int      // commands out over all I/O queues
+	Namespaces []uint32 // those that hold extents
+	Depth      int      // maximum number of outstanding commands over all I/O queues
 	Queues     int
 	Digests    bool
-	Connect    time.Duration // to set everything up
-	KeepAlive  time.Duration // 0: none is asked for
+	Connect    time.Duration // time limit for connecting and setting up the controller
+	KeepAlive  time.Duration // 0: none is requested
 	Seed       uint64
 	Now        func() logic.Micros
 	Log        *zap.Logger
-	Address    func() string // where the node is now; empty: nobody knows
+	Address    func() string // current address of the node; empty if it is unknown
 }
 
-// Watcher hears of a node's life. Its methods are called from the node's own goroutine and must not wait.
+// Watcher is notified of changes in the state of a node. Its methods are called from the node's goroutines and must not
+// block.
 type Watcher interface {
-	Reached(id logic.NodeID, age logic.Micros) // connected; age of its process, below zero: not told
-	Refused(id logic.NodeID)                   // its address takes no connections
+	Reached(id logic.NodeID, age logic.Micros) // connected; age is that of the node's process, negative if unknown
+	Refused(id logic.NodeID)                   // its address refuses connections
 	Draining(id logic.NodeID, is bool)
 	Lost(id logic.NodeID, err error)
 }
 
-// Counts are totals since the start.
+// Counts holds totals since the start.
 type Counts struct {
 	Dials, Connections, Resets, Strays, Aborts atomic.Uint64
-	BytesOut, BytesIn                          atomic.Uint64 // on the sockets, all of them
+	BytesOut, BytesIn                          atomic.Uint64 // over all sockets
 }
 
-// Node keeps up the connections to one node. It implements [block.Back] for attempts at that node.
+// Node maintains the connections to one storage node. It implements [block.Back] for attempts at that node.
 type Node struct {
 	cfg    Config
 	sink   block.Sink
 	watch  Watcher
 	Counts Counts
 
-	link   *links.Link // used by Run's goroutines under linkMu
+	link   *links.Link // used by Run's goroutines, guarded by linkMu
 	linkMu sync.Mutex
 
-	session atomic.Pointer[session] // nil: no connection stands
-	tried   chan struct{}           // closed once it was connected to, or could not be, for the first time
-	once    sync.Once
-	aborts  chan [2]uint16
-	kick    chan struct{} // dial now: the address may have changed
+	session        atomic.Pointer[session] // nil while not connected
+	firstTry       chan struct{}           // closed when the first try to connect has succeeded or failed
+	firstTryOnce   sync.Once
+	aborts         chan [2]uint16
+	addressChanged chan struct{} // wakes Run to look up the address
 }
 
-// session is one life of the connections.
+// session is the state of the connections between one setup and the next failure.
 type session struct {
-	queues     []*queue // I/O
-	depth      int      // of each
-	most       int64    // bytes of one command
-	zeroes     bool     // the node takes Write Zeroes
-	dsm        bool
-	reports    bool
-	ctl        nvme.Controller
-	namespaces atomic.Pointer[map[uint32]nvme.Namespace]
+	queues      []*queue // I/O queues
+	depth       int      // of each I/O queue
+	maxTransfer int64    // maximum data length of one command, in bytes
+	writeZeroes bool     // the node supports Write Zeroes
+	dsm         bool
+	reports     bool
+	ctl         nvme.Controller
+	namespaces  atomic.Pointer[map[uint32]nvme.Namespace]
 }
 
-// NewNode makes a node that is not connected; [Node.Run] connects it.
+// NewNode returns a node that is not connected; [Node.Run] connects it.
 func NewNode(cfg Config, sink block.Sink, watch Watcher) *Node {
 	return &Node{
 		cfg: cfg, sink: sink, watch: watch, link: links.New(logic.Micros(cfg.KeepAlive.Microseconds()), cfg.Seed),
-		aborts: make(chan [2]uint16, 256), kick: make(chan struct{}, 1), tried: make(chan struct{}),
+		aborts: make(chan [2]uint16, 256), addressChanged: make(chan struct{}, 1), firstTry: make(chan struct{}),
 	}
 }
 
-// Tried is closed once the node was connected to, or could not be, for the first time.
-func (n *Node) Tried() <-chan struct{} { return n.tried }
+// Tried returns a channel that is closed when the first try to connect has succeeded or failed.
+func (n *Node) Tried() <-chan struct{} { return n.firstTry }
 
-func (n *Node) hasTried() { n.once.Do(func() { close(n.tried) }) }
+func (n *Node) markTried() { n.firstTryOnce.Do(func() { close(n.firstTry) }) }
 
-// Up tells whether connections stand.
+// Up reports whether the node is connected.
 func (n *Node) Up() bool { return n.session.Load() != nil }
 
-// Kick asks for a look at the address without waiting for the next time to dial.
+// Kick makes Run look up the address again at once while the address is unknown.
 func (n *Node) Kick() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps the connections up until ctx ends. When it returns nothing of it is left, and every attempt that was
-// started has been told as ended.
+// Run maintains the connections until ctx is done. When it returns, its goroutines have ended and every attempt that
+// was started has been reported as ended.
 func (n *Node) Run(ctx context.Context) error {
 	for {
 		n.linkMu.Lock()
@@ -121,13 +122,13 @@
 		}
 		address := n.cfg.Address()
 		if address == "" {
-			if !sleep(ctx, time.Second, n.kick) {
+			if !sleep(ctx, time.Second, n.addressChanged) {
 				return nil
 			}
 			continue
 		}
-		err := n.serve(ctx, address)
-		n.hasTried()
+		err := n.runSession(ctx, address)
+		n.markTried()
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// sleep waits; false once ctx has ended.
+// sleep waits for d or until wake is signaled. It returns false if ctx is done.
 func sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
@@ -154,10 +155,10 @@
 	return ctx.Err() == nil
 }
 
-// serve sets the connections up, lets them work, and ends when one breaks.
-func (n *Node) serve(parent context.Context, address string) error {
+// runSession sets up the connections and returns when one of them breaks or ctx is done.
+func (n *Node) runSession(parent context.Context, address string) error {
 	g, ctx := errgroup.WithContext(parent)
-	var all []*queue
+	var queues []*queue
 	var conns []net.Conn
 	setup, cancel := context.WithTimeoutCause(ctx, n.cfg.Connect, fmt.Errorf("not set up within %v", n.cfg.Connect))
 	defer cancel()
@@ -186,11 +187,11 @@
 			c.Close()
 			return nil, ended
 		}
-		q := newQueue(id, &counted{c, &n.Counts}, depth, n.cfg.Now)
-		q.heard, q.stray, q.finished = n.heard, n.stray, n.finished
-		all = append(all, q)
-		limit, _ := setup.Deadline()
-		c.SetDeadline(limit)
+		q := newQueue(id, &countingConn{c, &n.Counts}, depth, n.cfg.Now)
+		q.onReceive, q.onUnexpected, q.onTaskDone = n.noteReceived, n.noteUnexpected, n.endTask
+		queues = append(queues, q)
+		deadline, _ := setup.Deadline()
+		c.SetDeadline(deadline)
 		if err := q.handshake(n.cfg.Digests); err != nil {
 			return nil, fmt.Errorf("queue %d: %w", id, err)
 		}
@@ -206,20 +207,20 @@
 		n.link.Up(n.cfg.Now())
 		n.linkMu.Unlock()
 		n.session.Store(s)
-		n.hasTried()
-		g.Go(func() error { return n.tend(ctx, s, admin) })
+		n.markTried()
+		g.Go(func() error { return n.maintain(ctx, s, admin) })
 		<-ctx.Done()
 		n.session.Store(nil)
 		n.Counts.Resets.Add(1)
 	}
-	g.Go(func() error { return errors.Join(err, errOver) }) // ends the group's context, also where setting up failed
+	g.Go(func() error { return errors.Join(err, errSessionEnded) }) // cancels the context, also after a failed setup
 	werr := g.Wait()
 	if !stop() {
 		<-closed
 	}
-	for _, q := range all {
+	for _, q := range queues {
 		q.conn.Close()
-		q.sweep()
+		q.failOutstanding()
 	}
 	if err != nil {
 		return err
@@ -227,27 +228,28 @@
 	return werr
 }
 
-var errOver = errors.New("session over")
+var errSessionEnded = errors.New("session ended")
 
-// counted counts what passes a connection, which is what crosses the network.
-type counted struct {
+// countingConn counts the bytes that pass a connection, which are those that cross the network.
+type countingConn struct {
 	net.Conn
-	c *Counts
+	counts *Counts
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.BytesIn.Add(uint64(n))
+	c.counts.BytesIn.Add(uint64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.BytesOut.Add(uint64(n))
+	c.counts.BytesOut.Add(uint64(n))
 	return n, err
 }
 
-// setUp is the way of a controller to ready (Base, section 3.5.1; Fabrics Connect, section 6.3).
+// setUp connects the queues and brings the controller to the ready state (Base, section 3.5.1; Fabrics Connect, section
+// 6.3).
 func (n *Node) setUp(ctx context.Context, open func(id uint16, depth int) (*queue, error)) (*session, *queue, error) {
 	const adminDepth = 32
 	admin, err := open(0, adminDepth)
@@ -258,7 +260,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cap, err := enable(ctx, admin)
+	capabilities, err := enable(ctx, admin)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -266,15 +268,15 @@
 	if err := identify(ctx, admin, nvme.CNSController, 0, page); err != nil {
 		return nil, nil, err
 	}
-	s := &session{most: mostTransfer}
+	s := &session{maxTransfer: maxTransfer}
 	if s.ctl, err = nvme.ParseController(page); err != nil {
 		return nil, nil, err
 	}
 	if s.ctl.MDTS > 0 && s.ctl.MDTS < 20 {
-		unit := int64(4096) << (cap >> 48 & 0xf) // CAP.MPSMIN
-		s.most = min(s.most, unit<<s.ctl.MDTS)
+		unit := int64(4096) << (capabilities >> 48 & 0xf) // CAP.MPSMIN
+		s.maxTransfer = min(s.maxTransfer, unit<<s.ctl.MDTS)
 	}
-	s.zeroes, s.dsm = s.ctl.ONCS&nvme.ONCSWriteZeroes != 0, s.ctl.ONCS&nvme.ONCSDSM != 0
+	s.writeZeroes, s.dsm = s.ctl.ONCS&nvme.ONCSWriteZeroes != 0, s.ctl.ONCS&nvme.ONCSDSM != 0
 
 	c := nvme.New(nvme.OpSetFeatures, 0)
 	c.Set(10, nvme.FeatNumQueues)
@@ -284,8 +286,8 @@
 		return nil, nil, err
 	}
 	queues := min(n.cfg.Queues, int(cqe.DW0()&0xffff)+1)
-	// A queue holds one command less than it has entries; CAP.MQES is the most entries, from zero.
-	s.depth = max(min((n.cfg.Depth+queues-1)/queues, int(cap&0xffff)), 1)
+	// A queue holds one command fewer than it has entries; CAP.MQES is the maximum number of entries, zero-based.
+	s.depth = max(min((n.cfg.Depth+queues-1)/queues, int(capabilities&0xffff)), 1)
 	if s.ctl.MaxCmd > 0 {
 		s.depth = min(s.depth, int(s.ctl.MaxCmd))
 	}
@@ -300,7 +302,7 @@
 		}
 		s.queues = append(s.queues, q)
 	}
-	// Vendor features: a plain node answers with an error and works without them.
+	// Vendor-specific features: a standard node answers with an error and works without them.
 	c = nvme.New(nvme.OpSetFeatures, 0)
 	c.Set(10, nvme.FeatReports)
 	c.Set(11, 1)
@@ -369,21 +371,21 @@
 			return 0, err
 		}
 		if csts := cqe.DW0(); csts&2 != 0 {
-			return 0, errors.New("nvme: the controller reports a fatal status")
+			return 0, errors.New("nvme: the controller reports a fatal status (CSTS.CFS)")
 		} else if csts&1 != 0 {
 			return capabilities, nil
 		}
 		if !sleep(ctx, pause, nil) {
-			return 0, fmt.Errorf("nvme: the controller does not become ready: %w", context.Cause(ctx))
+			return 0, fmt.Errorf("nvme: the controller did not become ready: %w", context.Cause(ctx))
 		}
 	}
 }
 
-// readNamespaces identifies the namespaces that extents lie on, some at a time.
+// readNamespaces identifies the namespaces that hold extents, up to 16 at a time.
 func (n *Node) readNamespaces(ctx context.Context, s *session, admin *queue) error {
 	found := make([]*nvme.Namespace, len(n.cfg.Namespaces))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(16) // of the admin queue's 32 places
+	g.SetLimit(16) // of the admin queue's 32 slots
 	for i, id := range n.cfg.Namespaces {
 		g.Go(func() error {
 			page := make([]byte, nvme.IdentifyLen)
@@ -396,10 +398,10 @@
 				ns, err = nvme.ParseNamespace(page)
 			}
 			if err == nil && ns.Metadata {
-				err = errors.New("nvme: its blocks carry metadata")
+				err = errors.New("nvme: blocks with metadata are not supported")
 			}
 			if err == nil && ns.Blocks == 0 {
-				err = errors.New("nvme: it is not active")
+				err = errors.New("nvme: the namespace is not active")
 			}
 			if err != nil {
 				n.cfg.Log.Warn("namespace cannot be used", zap.Uint32("namespace", id), zap.Error(err))
@@ -430,7 +432,7 @@
 	return err
 }
 
-// readANA reads the page and tells whether a group that extents lie on takes no new work.
+// readANA reads the ANA log page and notifies the watcher whether a group that holds extents takes no new work.
 func (n *Node) readANA(ctx context.Context, s *session, admin *queue) error {
 	size := 16 + 32*uint64(s.ctl.ANAGroups) + 4*uint64(s.ctl.Namespaces)
 	b := make([]byte, min(max(size, 4096)+3&^3, 1<<20))
@@ -454,19 +456,20 @@
 	return nil
 }
 
-// tend looks after a session that is up: keep-alives, events, aborts, and whether it is still alive.
-func (n *Node) tend(ctx context.Context, s *session, admin *queue) error {
+// maintain runs while a session is up: it sends keep-alives and aborts, handles events, and checks whether the
+// connections are still alive.
+func (n *Node) maintain(ctx context.Context, s *session, admin *queue) error {
 	events := make(chan reply, 4)
-	listen := func() bool {
+	requestEvent := func() bool {
 		c := nvme.New(nvme.OpAsyncEvent, 0)
-		return admin.submit(&task{reply: events, parts: []part{{cmd: c}}})
+		return admin.submit(&task{reply: events, commands: []command{{sqe: c}}})
 	}
 	if s.ctl.OAES&(nvme.EventANA|nvme.EventNamespace) != 0 {
-		listen()
+		requestEvent()
 	}
-	keep := logic.Micros(0)
-	last := n.cfg.Now()
-	var alive chan reply // of a keep-alive that is out
+	nextKeepAlive := logic.Micros(0)
+	lastKeepAlive := n.cfg.Now()
+	var pendingKeepAlive chan reply // of an outstanding keep-alive
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -475,60 +478,60 @@
 			return ctx.Err()
 		case r := <-events:
 			if r.err != nil || r.cqe.Status().Code() != nvme.Success {
-				break // without events the state of the node is read when it is connected to again
+				break // without events the state of the node is read at the next connect
 			}
 			if kind, info := r.cqe.DW0()&7, r.cqe.DW0()>>8&0xff; kind == 2 {
-				if err := n.changed(ctx, s, admin, info); err != nil {
+				if err := n.handleNotice(ctx, s, admin, info); err != nil {
 					return err
 				}
 			}
-			listen()
+			requestEvent()
 			continue
 		case a := <-n.aborts:
 			n.Counts.Aborts.Add(1)
 			c := nvme.New(nvme.OpAbort, 0)
 			c.Set(10, uint32(a[0])|uint32(a[1])<<16)
-			admin.submit(&task{reply: make(chan reply, 1), parts: []part{{cmd: c}}}) // its answer tells nothing we act on
+			admin.submit(&task{reply: make(chan reply, 1), commands: []command{{sqe: c}}}) // its answer is not used
 			continue
-		case r := <-alive:
-			if alive = nil; r.err != nil {
+		case r := <-pendingKeepAlive:
+			if pendingKeepAlive = nil; r.err != nil {
 				return r.err
 			}
 			continue
 		case <-timer.C:
 		}
 		now := n.cfg.Now()
-		if n.cfg.KeepAlive > 0 && now >= keep && alive == nil {
-			last = now
-			t := &task{reply: make(chan reply, 1), parts: []part{{cmd: nvme.New(nvme.OpKeepAlive, 0)}}}
+		if n.cfg.KeepAlive > 0 && now >= nextKeepAlive && pendingKeepAlive == nil {
+			lastKeepAlive = now
+			t := &task{reply: make(chan reply, 1), commands: []command{{sqe: nvme.New(nvme.OpKeepAlive, 0)}}}
 			if admin.submit(t) {
-				alive = t.reply
+				pendingKeepAlive = t.reply
 			}
 		}
 		lost := links.Lost{}
 		for _, q := range s.queues {
-			l, places, oldest := q.lostNow()
-			lost.Taken, lost.Places = lost.Taken+l, lost.Places+places
+			l, capacity, oldest := q.droppedUsage()
+			lost.Taken, lost.Places = lost.Taken+l, lost.Places+capacity
 			if oldest > 0 && (lost.Oldest == 0 || oldest < lost.Oldest) {
 				lost.Oldest = oldest
 			}
 		}
 		n.linkMu.Lock()
 		verdict, next := n.link.Look(now, lost)
-		keep = n.link.KeepAlive(last)
+		nextKeepAlive = n.link.KeepAlive(lastKeepAlive)
 		n.linkMu.Unlock()
 		if verdict != "" {
-			return fmt.Errorf("nvme: given up: %s", verdict)
+			return fmt.Errorf("nvme: connection given up: %s", verdict)
 		}
 		if n.cfg.KeepAlive > 0 {
-			next = min(next, max(keep, now+1000))
+			next = min(next, max(nextKeepAlive, now+1000))
 		}
 		timer.Reset(time.Duration(next-now) * time.Microsecond)
 	}
 }
 
-// changed takes a notice (Base, figure on asynchronous event information, notices).
-func (n *Node) changed(ctx context.Context, s *session, admin *queue, info uint32) error {
+// handleNotice handles an asynchronous event of type notice (Base, figure on asynchronous event information, notices).
+func (n *Node) handleNotice(ctx context.Context, s *session, admin *queue, info uint32) error {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.Connect)
 	defer cancel()
 	switch info {
@@ -540,13 +543,15 @@
 	return nil
 }
 
-func (n *Node) heard() {
+// noteReceived records that a PDU was received from the node.
+func (n *Node) noteReceived() {
 	n.linkMu.Lock()
 	n.link.Heard(n.cfg.Now())
 	n.linkMu.Unlock()
 }
 
-func (n *Node) stray() error {
+// noteUnexpected counts an answer that matches no command. It returns an error if the connection must be given up.
+func (n *Node) noteUnexpected() error {
 	n.Counts.Strays.Add(1)
 	n.linkMu.Lock()
 	giveUp := n.link.Stray(n.cfg.Now())
@@ -559,59 +564,60 @@
 
 // ---- attempts ----
 
-// Start carries an attempt out.
+// Start carries out an attempt and reports its end to the sink.
 func (n *Node) Start(a *block.Attempt) {
 	s := n.session.Load()
 	if t, _ := a.Handle.(*task); s == nil {
 		if t != nil {
-			t.q = nil
+			t.queue = nil
 		}
-		n.end(a, logic.ConnectFailed)
+		n.endAttempt(a, logic.ConnectFailed)
 		return
 	}
-	// The task stays with the attempt over its lives, so that Drop can never meet another's.
+	// The task stays with the attempt when it is started again, so that Drop can never find the task of another
+	// attempt.
 	t, _ := a.Handle.(*task)
 	if t == nil {
 		t = &task{}
 		a.Handle = t
 	}
-	clear(t.parts)
-	*t = task{attempt: a, buffer: a.Buffer, parts: t.parts[:0]}
-	if o, ok := n.plan(s, t); !ok {
-		n.end(a, o)
+	clear(t.commands)
+	*t = task{attempt: a, buffer: a.Buffer, commands: t.commands[:0]}
+	if o, ok := n.buildCommands(s, t); !ok {
+		n.endAttempt(a, o)
 		return
 	}
-	var out [16]int
+	var outstanding [16]int
 	for i, q := range s.queues {
-		out[i] = q.out()
+		outstanding[i] = q.outstanding()
 	}
-	// A place may be taken between the look and the choice; then the next fullest is tried.
+	// A slot may be taken between counting and choosing; then the next emptiest queue is tried.
 	for range s.queues {
-		i := links.Pick(out[:len(s.queues)], s.depth)
+		i := links.Pick(outstanding[:len(s.queues)], s.depth)
 		if i < 0 {
 			break
 		}
 		q := s.queues[i]
-		for j := range t.parts {
-			p := &t.parts[j]
+		for j := range t.commands {
+			p := &t.commands[j]
 			if len(p.out) > 0 {
-				p.cmd.Data(uint32(len(p.out)), len(p.out) <= q.inCapsule)
+				p.sqe.Data(uint32(len(p.out)), len(p.out) <= q.inCapsule)
 			}
 		}
 		if q.submit(t) {
 			return
 		}
-		out[i] = s.depth
+		outstanding[i] = s.depth
 	}
 	if n.session.Load() != s {
-		n.end(a, logic.ConnectFailed)
+		n.endAttempt(a, logic.ConnectFailed)
 		return
 	}
-	n.end(a, logic.Full)
+	n.endAttempt(a, logic.Full)
 }
 
-// plan makes the commands of an attempt; false with an outcome where none can be made.
-func (n *Node) plan(s *session, t *task) (logic.Outcome, bool) {
+// buildCommands builds the commands of an attempt. It returns false with an outcome if there is none to send.
+func (n *Node) buildCommands(s *session, t *task) (logic.Outcome, bool) {
 	a := t.attempt
 	ns, ok := (*s.namespaces.Load())[a.Namespace]
 	if !ok {
@@ -619,108 +625,109 @@
 	}
 	if a.Kind == block.Flush {
 		if !s.ctl.WriteCache {
-			return logic.OK, false // what was answered is stored already
+			return logic.OK, false // completed writes are already stored
 		}
-		t.parts = append(t.parts, part{cmd: nvme.New(nvme.OpFlush, a.Namespace)})
+		t.commands = append(t.commands, command{sqe: nvme.New(nvme.OpFlush, a.Namespace)})
 		return 0, true
 	}
-	bs := int64(ns.BlockSize)
-	if a.Offset%bs != 0 || a.Len%bs != 0 || a.Len == 0 || uint64(a.Offset+a.Len) > ns.Blocks*uint64(bs) ||
+	blockSize := int64(ns.BlockSize)
+	if a.Offset%blockSize != 0 || a.Len%blockSize != 0 || a.Len == 0 || uint64(a.Offset+a.Len) > ns.Blocks*uint64(blockSize) ||
 		ns.ReadOnly && a.Kind.Changes() {
 		n.cfg.Log.Warn("extent does not fit its namespace", zap.Uint32("namespace", a.Namespace),
-			zap.Int64("offset", a.Offset), zap.Int64("bytes", a.Len), zap.Int64("block", bs))
+			zap.Int64("offset", a.Offset), zap.Int64("bytes", a.Len), zap.Int64("block", blockSize))
 		return logic.Moot, false
 	}
-	opcode, step := uint8(nvme.OpRead), s.most/bs*bs
+	opcode, maxLen := uint8(nvme.OpRead), s.maxTransfer/blockSize*blockSize
 	switch a.Kind {
 	case block.Write:
 		opcode = nvme.OpWrite
 	case block.WriteZeroes:
 		opcode = nvme.OpWriteZeroes
-		if step = 65536 * bs; !s.zeroes {
-			opcode, step = nvme.OpWrite, s.most/bs*bs
+		if maxLen = 65536 * blockSize; !s.writeZeroes {
+			opcode, maxLen = nvme.OpWrite, s.maxTransfer/blockSize*blockSize
 		}
 	case block.Discard:
 		if !s.dsm {
-			return logic.OK, false // a hint that this node has no use for
+			return logic.OK, false // a hint that this node does not support
 		}
 		c := nvme.New(nvme.OpDSM, a.Namespace)
 		c.Set(11, 1<<2) // deallocate
-		list := nvme.DSMRange(uint64(a.Offset/bs), uint32(a.Len/bs))
-		t.parts = append(t.parts, part{cmd: c, out: list})
+		list := nvme.DSMRange(uint64(a.Offset/blockSize), uint32(a.Len/blockSize))
+		t.commands = append(t.commands, command{sqe: c, out: list})
 		return 0, true
 	}
-	step = min(step, 65536*bs)
+	maxLen = min(maxLen, 65536*blockSize)
 	data := a.Bytes()
-	for off := int64(0); off < a.Len; off += step {
-		size := min(step, a.Len-off)
-		p := part{cmd: nvme.New(opcode, a.Namespace)}
-		p.cmd.Blocks(uint64((a.Offset+off)/bs), uint32(size/bs))
+	for off := int64(0); off < a.Len; off += maxLen {
+		size := min(maxLen, a.Len-off)
+		p := command{sqe: nvme.New(opcode, a.Namespace)}
+		p.sqe.Blocks(uint64((a.Offset+off)/blockSize), uint32(size/blockSize))
 		if a.Durable {
-			p.cmd.Set(12, p.cmd.Dword(12)|nvme.FUA)
+			p.sqe.Set(12, p.sqe.Dword(12)|nvme.FUA)
 		}
 		switch {
 		case a.Kind == block.Read:
 			p.in = data[off : off+size]
-			p.cmd.Data(uint32(size), false)
+			p.sqe.Data(uint32(size), false)
 		case a.Kind == block.Write:
 			p.out = data[off : off+size]
 		case opcode == nvme.OpWrite:
-			p.out = zeroes(size)
+			p.out = zeroData(size)
 		}
 		if s.reports && a.Key != 0 {
-			p.cmd.SetKey(a.Key)
+			p.sqe.SetKey(a.Key)
 		}
-		t.parts = append(t.parts, p)
+		t.commands = append(t.commands, p)
 	}
 	return 0, true
 }
 
 var (
-	zeroOnce  sync.Once
-	zeroBytes []byte
+	zeroOnce   sync.Once
+	zeroBuffer []byte
 )
 
-func zeroes(n int64) []byte {
-	zeroOnce.Do(func() { zeroBytes = make([]byte, mostTransfer) })
-	return zeroBytes[:n]
+// zeroData returns n zero bytes from a shared buffer; n is at most maxTransfer.
+func zeroData(n int64) []byte {
+	zeroOnce.Do(func() { zeroBuffer = make([]byte, maxTransfer) })
+	return zeroBuffer[:n]
 }
 
-// Drop lets go of an attempt; the node is asked to abort what it was sent.
+// Drop abandons an attempt; the node is asked to abort the commands that it was sent.
 func (n *Node) Drop(a *block.Attempt) {
 	t, _ := a.Handle.(*task)
-	if t == nil || t.q == nil {
+	if t == nil || t.queue == nil {
 		return
 	}
-	t.q.drop(t, func(qid, cid uint16) {
+	t.queue.drop(t, func(qid, cid uint16) {
 		select {
 		case n.aborts <- [2]uint16{qid, cid}:
-		default: // the bound on aborts; the answer is not waited for either way
+		default: // too many aborts are queued; the answer is not waited for either way
 		}
 	})
 }
 
-// end tells the end of an attempt that never came to a queue.
-func (n *Node) end(a *block.Attempt, o logic.Outcome) {
+// endAttempt reports the end of an attempt that was never submitted to a queue.
+func (n *Node) endAttempt(a *block.Attempt, o logic.Outcome) {
 	n.sink.AttemptEnded(a, block.Result{Outcome: o, Load: logic.NoLoad})
 }
 
-// answerBroken ends an admin call whose connection is gone; one that was completed has its reply.
-func answerBroken(t *task) {
+// failCall ends an admin call whose connection broke. A call that was completed has its reply already.
+func failCall(t *task) {
 	select {
 	case t.reply <- reply{err: errors.New("the connection broke")}:
 	default:
 	}
 }
 
-// finished tells the end of a task.
-func (n *Node) finished(t *task) {
+// endTask reports the end of a task.
+func (n *Node) endTask(t *task) {
 	if t.attempt == nil {
-		answerBroken(t)
+		failCall(t)
 		return
 	}
-	r := block.Result{Outcome: t.outcome, Load: logic.NoLoad, Out: t.wireOut, In: t.wireIn}
-	if t.told {
+	r := block.Result{Outcome: t.outcome, Load: logic.NoLoad, Out: t.bytesSent, In: t.bytesReceived}
+	if t.hasReport {
 		r.Load.Holds, r.Load.Waits = float64(t.report.Holds), float64(t.report.Waits)
 		if t.report.Busy <= 100 {
 			r.Load.Busy = float64(t.report.Busy) / 100
--- a/internal/nvme/initiator/outcome.go
+++ b/internal/nvme/initiator/outcome.go
@@ -5,24 +5,24 @@
 	"appleplank/logic"
 )
 
-// outcomes is the one table from a command's status to logic's words. What stands here as Full, Moot or
-// ConnectFailed promises that the command did not run; everything that is not listed may have run.
+// outcomeByStatus is the only mapping from the status of a command to a logic.Outcome. Full, Moot and ConnectFailed
+// guarantee that the command was not executed; a command with a status that is not listed may have been executed.
 //
-//	connection broke before the capsule was begun   Moot           (node.go, sweep)
-//	connection broke after that                     Reset          (node.go, sweep)
-//	no connection stands                            ConnectFailed  (node.go, Start)
-//	no place in the queues                          Full           (node.go, Start)
-//	data came short or damaged                      Failed         (task.go)
-var outcomes = map[nvme.Status]logic.Outcome{
+//	connection broke before its sending started     Moot           (queue.go, failOutstanding)
+//	connection broke after that                     Reset          (queue.go, failOutstanding)
+//	not connected                                   ConnectFailed  (node.go, Start)
+//	no free slot in the queues                      Full           (node.go, Start)
+//	data incomplete or damaged                      Failed         (queue.go, handleCompletion)
+var outcomeByStatus = map[nvme.Status]logic.Outcome{
 	nvme.Success: logic.OK,
 
-	// Refused by the specification's own words before it is executed, for now.
+	// Temporary refusals that by the specification come before the command is executed.
 	nvme.NamespaceNotReady: logic.Full,
 	nvme.ANAInaccessible:   logic.Full,
 	nvme.ANAPersistentLoss: logic.Full,
 	nvme.ANATransition:     logic.Full,
 
-	// Refused because of what it asks; it says nothing of the node's load.
+	// Refused because of what the command asks for; this says nothing about the node's load.
 	nvme.InvalidOpcode:    logic.Moot,
 	nvme.InvalidField:     logic.Moot,
 	nvme.InvalidNamespace: logic.Moot,
@@ -34,24 +34,26 @@
 	nvme.AbortedSQDeleted: logic.Cancelled,
 }
 
-func outcome(s nvme.Status) logic.Outcome {
-	if o, ok := outcomes[s.Code()]; ok {
+// outcomeOf returns the outcome of a command with status s, Failed if the status is not listed.
+func outcomeOf(s nvme.Status) logic.Outcome {
+	if o, ok := outcomeByStatus[s.Code()]; ok {
 		return o
 	}
 	return logic.Failed
 }
 
+// neverRan reports whether an outcome guarantees that the command was not executed.
 func neverRan(o logic.Outcome) bool {
 	return o == logic.Full || o == logic.Moot || o == logic.ConnectFailed
 }
 
-// join is how an attempt ended whose parts ended so: as the part of which least is known.
-func join(a, b logic.Outcome) logic.Outcome {
+// combineOutcomes returns the outcome of an attempt whose commands ended with a and b: the one that guarantees least.
+func combineOutcomes(a, b logic.Outcome) logic.Outcome {
 	switch {
 	case a == b || neverRan(a) && neverRan(b):
 		return a
 	case a == logic.OK && neverRan(b) || b == logic.OK && neverRan(a):
-		return logic.Failed // a part of it ran
+		return logic.Failed // part of the attempt was executed
 	case a == logic.OK || neverRan(a):
 		return b
 	}
--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -16,94 +16,95 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// task is a command, or several that together carry one attempt out. Its parts go to one queue.
+// task carries out one attempt or one admin call with one or more commands, which all go to the same queue.
 type task struct {
-	attempt *block.Attempt // nil: an admin call
-	buffer  *block.Buffer  // held while any part is out
-	parts   []part
-	q       *queue
-	left    int  // parts that have not ended
-	next    int  // first part that has no place yet
-	begun   bool // logic.Outcome of a part is in outcome
-	outcome logic.Outcome
-	report  nvme.Report
-	told    bool // report is valid
-	dropped bool
-	wireOut int64 // bytes that crossed for it, under the queue's mu
-	wireIn  int64
-	reply   chan reply // admin calls
+	attempt       *block.Attempt // nil for an admin call
+	buffer        *block.Buffer  // held until every command has finished
+	commands      []command
+	queue         *queue
+	unfinished    int  // commands that have not finished
+	next          int  // index of the first command that has no slot yet
+	hasOutcome    bool // outcome is set: at least one command has finished
+	outcome       logic.Outcome
+	report        nvme.Report
+	hasReport     bool // report is valid
+	dropped       bool
+	bytesSent     int64 // bytes on the wire for this task; guarded by the queue's mu
+	bytesReceived int64
+	reply         chan reply // admin calls only
 }
 
-type part struct {
-	cmd     nvme.Command
-	out, in []byte // to and from the node
-	slot    int    // below zero: none
+// command is one NVMe command of a task, with its data.
+type command struct {
+	sqe     nvme.Command
+	out, in []byte // data to and from the node
+	slot    int    // index in queue.slots; negative if it has none
 }
 
-// reply is the end of an admin call.
+// reply is the result of an admin call.
 type reply struct {
-	cqe nvme.Completion
-	got int
-	err error
+	cqe      nvme.Completion
+	received int
+	err      error
 }
 
-// slot is a place in a queue. Its command identifier joins its index with a generation that changes with each
-// use, and free places are used in turn, so an identifier comes back only after all others of its place have
-// been used: an answer that comes twice or late meets no other command.
+// slot holds one outstanding command. Its command identifier combines the slot's index with a generation that changes
+// with each use, and free slots are reused in FIFO order, so an identifier recurs only after all others of its slot
+// have been used: a duplicate or late answer does not match another command.
 type slot struct {
-	gen     uint16
-	busy    bool
-	written bool // at least a byte of the capsule may have left
-	damaged bool
-	t       *task
-	part    int
-	got     int // bytes of data that came
-	asked   int // bytes the node has asked for
-	sent    logic.Micros
+	generation   uint16
+	busy         bool
+	sendStarted  bool // at least one byte of the capsule may have been sent
+	digestError  bool
+	task         *task
+	commandIndex int
+	received     int // bytes of data received
+	requested    int // bytes of data requested by R2Ts
+	sentAt       logic.Micros
 }
 
-// item is something to be sent.
-type item struct {
-	cid    uint16
-	data   bool // H2CData; otherwise the capsule
-	tag    uint16
-	offset uint32
-	length uint32
+// sendEntry is an entry of the send queue: a command capsule, or the data requested by one R2T.
+type sendEntry struct {
+	cid         uint16
+	isData      bool // H2CData; otherwise the capsule
+	transferTag uint16
+	offset      uint32
+	length      uint32
 }
 
 // queue is one connection, which carries one NVMe queue (TCP Transport, section 3.1).
 type queue struct {
-	id         uint16
-	conn       net.Conn
-	r          *nvme.Reader
-	w          *nvme.Writer
-	inCapsule  int
-	maxH2CData int
-	now        func() logic.Micros
-	heard      func()
-	stray      func() error // an answer to nothing; an error gives the connection up
-	finished   func(t *task)
-
-	mu    sync.Mutex
-	slots []slot
-	free  []int // in turn, as a ring
-	first int
-	spare int // how many are free
-	shift int
-	items []item
-	dead  bool
-	lost  int // places of dropped commands
-	wake  chan struct{}
-
-	faults chan fault
+	id           uint16
+	conn         net.Conn
+	reader       *nvme.Reader
+	writer       *nvme.Writer
+	inCapsule    int
+	maxH2CData   int
+	now          func() logic.Micros
+	onReceive    func()
+	onUnexpected func() error // called for an answer that matches no command; an error closes the connection
+	onTaskDone   func(t *task)
+
+	mu           sync.Mutex
+	slots        []slot
+	free         []int // indices of free slots, a FIFO ring that starts at freeHead
+	freeHead     int
+	freeCount    int // number of free slots
+	indexBits    int
+	sendQueue    []sendEntry
+	closed       bool
+	droppedSlots int // slots held by dropped commands that were sent
+	wake         chan struct{}
+
+	terminations chan termination
 }
 
-// newQueue has room for depth commands at a time, at most 1024.
+// newQueue returns a queue for up to depth outstanding commands; depth is at most 1024.
 func newQueue(id uint16, conn net.Conn, depth int, now func() logic.Micros) *queue {
 	q := &queue{
-		id: id, conn: conn, now: now, r: nvme.NewReader(conn, mostTransfer), w: nvme.NewWriter(conn),
-		slots: make([]slot, depth), free: make([]int, depth), spare: depth, shift: bits.Len(uint(depth - 1)),
-		wake: make(chan struct{}, 1), faults: make(chan fault, 1), maxH2CData: mostTransfer,
+		id: id, conn: conn, now: now, reader: nvme.NewReader(conn, maxTransfer), writer: nvme.NewWriter(conn),
+		slots: make([]slot, depth), free: make([]int, depth), freeCount: depth, indexBits: bits.Len(uint(depth - 1)),
+		wake: make(chan struct{}, 1), terminations: make(chan termination, 1), maxH2CData: maxTransfer,
 	}
 	for i := range q.free {
 		q.free[i] = i
@@ -111,308 +112,312 @@
 	return q
 }
 
-// mostTransfer bounds the data of one PDU, either way.
-const mostTransfer = 4 << 20
+// maxTransfer is the maximum length of the data of one PDU in either direction, in bytes.
+const maxTransfer = 4 << 20
 
-// handshake exchanges ICReq and ICResp.
+// handshake exchanges ICReq and ICResp and applies the parameters of the node.
 func (q *queue) handshake(digests bool) error {
-	if err := q.w.Init(nvme.ICReq, nvme.Params{Align: 4, HeaderDigest: digests, DataDigest: digests, MaxR2T: 1}); err != nil {
+	if err := q.writer.Init(nvme.ICReq, nvme.Params{Align: 4, HeaderDigest: digests, DataDigest: digests, MaxR2T: 1}); err != nil {
 		return err
 	}
-	if err := q.w.Flush(); err != nil {
+	if err := q.writer.Flush(); err != nil {
 		return err
 	}
 	var h nvme.Header
-	if err := q.r.Next(&h); err != nil {
+	if err := q.reader.Next(&h); err != nil {
 		return err
 	}
 	if h.Type != nvme.ICResp {
-		return fmt.Errorf("nvme/tcp: %v in answer to ICReq", h.Type)
+		return fmt.Errorf("nvme/tcp: received %v instead of ICResp", h.Type)
 	}
 	p, err := h.Params()
 	if err != nil {
 		return err
 	}
 	if !digests && (p.HeaderDigest || p.DataDigest) {
-		return errors.New("nvme/tcp: the node turns digests on that were not asked for")
+		return errors.New("nvme/tcp: the node enabled digests that were not requested")
 	}
-	q.r.HeaderDigest, q.r.DataDigest = p.HeaderDigest, p.DataDigest
-	q.w.HeaderDigest, q.w.DataDigest = p.HeaderDigest, p.DataDigest
-	q.w.Align, q.maxH2CData = p.Align, int(min(p.MaxH2CData, mostTransfer))
+	q.reader.HeaderDigest, q.reader.DataDigest = p.HeaderDigest, p.DataDigest
+	q.writer.HeaderDigest, q.writer.DataDigest = p.HeaderDigest, p.DataDigest
+	q.writer.Align, q.maxH2CData = p.Align, int(min(p.MaxH2CData, maxTransfer))
 	return nil
 }
 
-// run starts the queue's two goroutines in g. They end when the connection does.
+// run starts the queue's reader and writer in g. They return when the connection ends.
 func (q *queue) run(ctx context.Context, g *errgroup.Group) {
-	g.Go(func() error { return q.read() })
-	g.Go(func() error { return q.write(ctx) })
+	g.Go(func() error { return q.readLoop() })
+	g.Go(func() error { return q.writeLoop(ctx) })
 }
 
-// out is how many commands hold a place.
-func (q *queue) out() int {
+// outstanding returns the number of commands that hold a slot.
+func (q *queue) outstanding() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.slots) - q.spare
+	return len(q.slots) - q.freeCount
 }
 
-// submit begins a task, with as many of its parts as there are places; the others follow as places are freed. False
-// where the queue is dead or has no place.
+// submit starts a task with as many of its commands as there are free slots; the others follow as slots become free. It
+// returns false if the queue is closed or has no free slot.
 func (q *queue) submit(t *task) bool {
 	q.mu.Lock()
-	if q.dead || q.spare == 0 {
+	if q.closed || q.freeCount == 0 {
 		q.mu.Unlock()
 		return false
 	}
-	t.q, t.left, t.next = q, len(t.parts), 0
+	t.queue, t.unfinished, t.next = q, len(t.commands), 0
 	t.buffer.Hold()
-	for i := range t.parts {
-		t.parts[i].slot = -1
+	for i := range t.commands {
+		t.commands[i].slot = -1
 	}
-	for t.next < len(t.parts) && q.spare > 0 {
-		q.place(t)
+	for t.next < len(t.commands) && q.freeCount > 0 {
+		q.assignSlot(t)
 	}
 	q.mu.Unlock()
-	q.nudge()
+	q.wakeWriter()
 	return true
 }
 
-// place gives the next part of a task a free place. The caller holds mu.
-func (q *queue) place(t *task) {
-	at := q.free[q.first]
-	q.first = (q.first + 1) % len(q.free)
-	q.spare--
-	s := &q.slots[at]
-	*s = slot{gen: s.gen + 1, busy: true, t: t, part: t.next}
-	if q.cid(at) == 0xffff {
-		s.gen++
-	}
-	p := &t.parts[t.next]
+// assignSlot gives the next command of a task a free slot and queues its capsule. The caller holds mu.
+func (q *queue) assignSlot(t *task) {
+	index := q.free[q.freeHead]
+	q.freeHead = (q.freeHead + 1) % len(q.free)
+	q.freeCount--
+	s := &q.slots[index]
+	*s = slot{generation: s.generation + 1, busy: true, task: t, commandIndex: t.next}
+	if q.cid(index) == 0xffff {
+		s.generation++
+	}
+	p := &t.commands[t.next]
 	t.next++
-	p.slot = at
-	p.cmd.SetCID(q.cid(at))
-	q.items = append(q.items, item{cid: q.cid(at)})
+	p.slot = index
+	p.sqe.SetCID(q.cid(index))
+	q.sendQueue = append(q.sendQueue, sendEntry{cid: q.cid(index)})
 }
 
-func (q *queue) nudge() {
+// wakeWriter makes the writer look at the send queue.
+func (q *queue) wakeWriter() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (q *queue) cid(at int) uint16 { return q.slots[at].gen<<q.shift | uint16(at) }
+// cid returns the current command identifier of a slot.
+func (q *queue) cid(index int) uint16 { return q.slots[index].generation<<q.indexBits | uint16(index) }
 
-// find is the place a command identifier belongs to, or nil where it belongs to none that is out.
-func (q *queue) find(cid uint16) *slot {
-	at := int(cid) & (1<<q.shift - 1)
-	if at >= len(q.slots) || !q.slots[at].busy || q.cid(at) != cid {
+// findSlot returns the slot of a command identifier, or nil if no outstanding command has it.
+func (q *queue) findSlot(cid uint16) *slot {
+	index := int(cid) & (1<<q.indexBits - 1)
+	if index >= len(q.slots) || !q.slots[index].busy || q.cid(index) != cid {
 		return nil
 	}
-	return &q.slots[at]
+	return &q.slots[index]
 }
 
-// end frees a place; it gives the task when that was its last. The caller holds mu.
-func (q *queue) end(s *slot, o logic.Outcome) *task {
-	t := s.t
-	p := &t.parts[s.part]
-	if t.dropped && s.written {
-		q.lost--
+// finishCommand frees a slot. It returns the task if this was its last command, otherwise nil. The caller holds mu.
+func (q *queue) finishCommand(s *slot, o logic.Outcome) *task {
+	t := s.task
+	p := &t.commands[s.commandIndex]
+	if t.dropped && s.sendStarted {
+		q.droppedSlots--
 	}
-	if t.begun {
-		o = join(t.outcome, o)
+	if t.hasOutcome {
+		o = combineOutcomes(t.outcome, o)
 	}
-	t.outcome, t.begun = o, true
-	s.busy, s.t = false, nil
-	q.free[(q.first+q.spare)%len(q.free)] = p.slot
-	q.spare++
+	t.outcome, t.hasOutcome = o, true
+	s.busy, s.task = false, nil
+	q.free[(q.freeHead+q.freeCount)%len(q.free)] = p.slot
+	q.freeCount++
 	p.slot = -1
-	t.left--
-	if t.next < len(t.parts) {
-		if o == logic.OK && !t.dropped && !q.dead {
-			q.place(t)
-			q.nudge()
-		} else { // what was not begun never will be
-			t.left -= len(t.parts) - t.next
-			t.next = len(t.parts)
-			t.outcome = join(t.outcome, logic.Moot)
+	t.unfinished--
+	if t.next < len(t.commands) {
+		if o == logic.OK && !t.dropped && !q.closed {
+			q.assignSlot(t)
+			q.wakeWriter()
+		} else { // commands that have no slot yet are never sent
+			t.unfinished -= len(t.commands) - t.next
+			t.next = len(t.commands)
+			t.outcome = combineOutcomes(t.outcome, logic.Moot)
 		}
 	}
-	if t.left > 0 {
+	if t.unfinished > 0 {
 		return nil
 	}
 	return t
 }
 
-func (q *queue) done(t *task) {
+// finishTask releases the buffer of a finished task and reports it. A nil task is ignored.
+func (q *queue) finishTask(t *task) {
 	if t != nil {
 		t.buffer.Release()
-		q.finished(t)
+		q.onTaskDone(t)
 	}
 }
 
-// drop lets go of a task nobody waits for. Parts that were not begun are never sent; the identifiers of the
-// others stay taken until their answers come, and are given to abort.
+// drop abandons a task that nobody waits for. Commands whose sending has not started are never sent. The identifiers of
+// the others stay in use until their answers arrive, and are passed to abort.
 func (q *queue) drop(t *task, abort func(qid, cid uint16)) {
 	q.mu.Lock()
-	if t.dropped || t.left == 0 {
+	if t.dropped || t.unfinished == 0 {
 		q.mu.Unlock()
 		return
 	}
 	t.dropped = true
 	var last *task
-	for i := range t.parts {
-		at := t.parts[i].slot
-		if at < 0 {
+	for i := range t.commands {
+		index := t.commands[i].slot
+		if index < 0 {
 			continue
 		}
-		s := &q.slots[at]
-		if s.written {
-			q.lost++
-			abort(q.id, q.cid(at))
+		s := &q.slots[index]
+		if s.sendStarted {
+			q.droppedSlots++
+			abort(q.id, q.cid(index))
 		} else {
-			last = q.end(s, logic.Moot)
+			last = q.finishCommand(s, logic.Moot)
 		}
 	}
 	q.mu.Unlock()
-	q.done(last)
+	q.finishTask(last)
 }
 
-// lostNow tells how many places dropped commands hold, and when the oldest of them was sent.
-func (q *queue) lostNow() (lost, places int, oldest logic.Micros) {
+// droppedUsage returns how many slots dropped commands hold, how many slots there are, and when the oldest of the
+// dropped commands was sent.
+func (q *queue) droppedUsage() (dropped, capacity int, oldest logic.Micros) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.lost > 0 {
+	if q.droppedSlots > 0 {
 		for i := range q.slots {
-			if s := &q.slots[i]; s.busy && s.t.dropped && (oldest == 0 || s.sent < oldest) {
-				oldest = s.sent
+			if s := &q.slots[i]; s.busy && s.task.dropped && (oldest == 0 || s.sentAt < oldest) {
+				oldest = s.sentAt
 			}
 		}
 	}
-	return q.lost, len(q.slots), oldest
+	return q.droppedSlots, len(q.slots), oldest
 }
 
-// sweep ends everything that is out on a connection that is gone. Both goroutines have ended.
-func (q *queue) sweep() {
+// failOutstanding ends all outstanding commands of a broken connection. Both goroutines must have returned.
+func (q *queue) failOutstanding() {
 	q.mu.Lock()
-	q.dead = true
+	q.closed = true
 	var ended []*task
 	for i := range q.slots {
 		if s := &q.slots[i]; s.busy {
 			o := logic.Moot
-			if s.written {
+			if s.sendStarted {
 				o = logic.Reset
 			}
-			if t := q.end(s, o); t != nil {
+			if t := q.finishCommand(s, o); t != nil {
 				ended = append(ended, t)
 			}
 		}
 	}
-	q.items = nil
+	q.sendQueue = nil
 	q.mu.Unlock()
 	for _, t := range ended {
-		q.done(t)
+		q.finishTask(t)
 	}
 }
 
 // ---- sending ----
 
-func (q *queue) write(ctx context.Context) error {
-	var batch []item
+func (q *queue) writeLoop(ctx context.Context) error {
+	var batch []sendEntry
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case f := <-q.faults:
-			q.w.Terminate(nvme.H2CTermReq, f.err, f.header)
+		case f := <-q.terminations:
+			q.writer.Terminate(nvme.H2CTermReq, f.err, f.header)
 			close(f.sent)
 			return f.err
 		case <-q.wake:
 		}
 		for {
 			q.mu.Lock()
-			batch, q.items = q.items, batch[:0]
+			batch, q.sendQueue = q.sendQueue, batch[:0]
 			q.mu.Unlock()
 			if len(batch) == 0 {
 				break
 			}
 			for _, it := range batch {
-				if err := q.sendItem(it); err != nil {
+				if err := q.send(it); err != nil {
 					return fmt.Errorf("nvme/tcp: send: %w", err)
 				}
 			}
 		}
-		if err := q.w.Flush(); err != nil {
+		if err := q.writer.Flush(); err != nil {
 			return fmt.Errorf("nvme/tcp: send: %w", err)
 		}
 	}
 }
 
-func (q *queue) sendItem(it item) error {
+func (q *queue) send(entry sendEntry) error {
 	q.mu.Lock()
-	s := q.find(it.cid)
-	if s == nil { // dropped before it was begun, or answered before its data was asked for
+	s := q.findSlot(entry.cid)
+	if s == nil { // dropped before it was sent, or completed before its data was sent
 		q.mu.Unlock()
 		return nil
 	}
-	if it.data && s.t.dropped {
+	if entry.isData && s.task.dropped {
 		q.mu.Unlock()
 		return nil
 	}
-	p := &s.t.parts[s.part]
-	cmd, out := p.cmd, p.out
-	// Counted before it is sent, as the answer may be there, and the task over, before the sending is.
-	if !it.data {
-		s.written, s.sent = true, q.now()
+	p := &s.task.commands[s.commandIndex]
+	cmd, out := p.sqe, p.out
+	// Counted before sending, as the answer may arrive, and the task end, before the write returns.
+	if !entry.isData {
+		s.sendStarted, s.sentAt = true, q.now()
 		in := 0
 		if _, inCapsule, _ := cmd.DataLen(); inCapsule {
 			in = len(out)
 		}
-		s.t.wireOut += int64(q.w.CapsuleSize(in))
+		s.task.bytesSent += int64(q.writer.CapsuleSize(in))
 	} else {
-		for left := int(it.length); left > 0; left -= q.maxH2CData {
-			s.t.wireOut += int64(q.w.TransferSize(min(left, q.maxH2CData)))
+		for left := int(entry.length); left > 0; left -= q.maxH2CData {
+			s.task.bytesSent += int64(q.writer.TransferSize(min(left, q.maxH2CData)))
 		}
 	}
-	// The node may answer, and the place be given to another, while its data is still being written.
-	held := s.t.buffer.Hold()
+	// The node may answer, and the slot be reused, while the data of the command is still being written.
+	held := s.task.buffer.Hold()
 	q.mu.Unlock()
 	defer held.Release()
-	if !it.data {
+	if !entry.isData {
 		if _, in, _ := cmd.DataLen(); !in {
 			out = nil
 		}
-		return q.w.Capsule(&cmd, out)
+		return q.writer.Capsule(&cmd, out)
 	}
-	for it.length > 0 && !q.droppedNow(it.cid) {
-		n := min(it.length, uint32(q.maxH2CData))
+	for entry.length > 0 && !q.isDropped(entry.cid) {
+		n := min(entry.length, uint32(q.maxH2CData))
 		flags := uint8(0)
-		if n == it.length {
+		if n == entry.length {
 			flags = nvme.FlagLast
 		}
-		if err := q.w.Transfer(nvme.H2CData, flags, it.cid, it.tag, it.offset, n, out[it.offset:it.offset+n]); err != nil {
+		if err := q.writer.Transfer(nvme.H2CData, flags, entry.cid, entry.transferTag, entry.offset, n, out[entry.offset:entry.offset+n]); err != nil {
 			return err
 		}
-		it.offset, it.length = it.offset+n, it.length-n
+		entry.offset, entry.length = entry.offset+n, entry.length-n
 	}
 	return nil
 }
 
-func (q *queue) droppedNow(cid uint16) bool {
+func (q *queue) isDropped(cid uint16) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s := q.find(cid)
-	return s == nil || s.t.dropped
+	s := q.findSlot(cid)
+	return s == nil || s.task.dropped
 }
 
 // ---- receiving ----
 
-func (q *queue) read() error {
+func (q *queue) readLoop() error {
 	var h nvme.Header
 	for {
-		err := q.r.Next(&h)
+		err := q.reader.Next(&h)
 		if err == nil {
-			q.heard()
-			err = q.take(&h)
+			q.onReceive()
+			err = q.handlePDU(&h)
 		}
 		if err != nil {
 			var fatal *nvme.FatalError
@@ -424,153 +429,154 @@
 	}
 }
 
-// terminate has the writer tell the node why the connection ends, and waits a little for that; a node that
-// takes nothing is cut off all the same.
+// terminate has the writer send a termination request with the reason, and waits for it for at most 100 ms, so that a
+// node that does not read is disconnected as well.
 func (q *queue) terminate(e *nvme.FatalError, header []byte) {
-	f := fault{e, append([]byte(nil), header...), make(chan struct{})}
-	q.faults <- f // has room for the one there can be
+	f := termination{e, append([]byte(nil), header...), make(chan struct{})}
+	q.terminations <- f // does not block: the buffer holds the only one a connection can have
 	select {
 	case <-f.sent:
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
-type fault struct {
+// termination asks the writer to send a termination request and to close sent afterwards.
+type termination struct {
 	err    *nvme.FatalError
 	header []byte
 	sent   chan struct{}
 }
 
-func (q *queue) take(h *nvme.Header) error {
+func (q *queue) handlePDU(h *nvme.Header) error {
 	switch h.Type {
 	case nvme.CapsuleResp:
-		q.arrived(h.Completion().CID(), h.Wire)
+		q.countReceived(h.Completion().CID(), h.Wire)
 	case nvme.C2HData, nvme.R2T:
 		cid, _, _, _ := h.Transfer()
-		q.arrived(cid, h.Wire)
+		q.countReceived(cid, h.Wire)
 	}
 	switch h.Type {
 	case nvme.CapsuleResp:
-		return q.completed(*h.Completion())
+		return q.handleCompletion(*h.Completion())
 	case nvme.C2HData:
-		return q.data(h)
+		return q.handleData(h)
 	case nvme.R2T:
-		return q.asked(h)
+		return q.handleR2T(h)
 	case nvme.C2HTermReq:
 		fes, off := h.Term()
-		return fmt.Errorf("nvme/tcp: the node ends the connection, status %d, field at %d", fes, off)
+		return fmt.Errorf("nvme/tcp: the node terminated the connection: fatal error status %d, field offset %d", fes, off)
 	}
-	return &nvme.FatalError{Status: nvme.FESSequence, Text: fmt.Sprintf("%v from a node", h.Type)}
+	return &nvme.FatalError{Status: nvme.FESSequence, Text: fmt.Sprintf("unexpected %v from the node", h.Type)}
 }
 
-// arrived counts a PDU for the command it belongs to.
-func (q *queue) arrived(cid uint16, bytes int) {
+// countReceived adds the length of a PDU to the task of its command.
+func (q *queue) countReceived(cid uint16, bytes int) {
 	q.mu.Lock()
-	if s := q.find(cid); s != nil && s.written {
-		s.t.wireIn += int64(bytes)
+	if s := q.findSlot(cid); s != nil && s.sendStarted {
+		s.task.bytesReceived += int64(bytes)
 	}
 	q.mu.Unlock()
 }
 
-func (q *queue) completed(c nvme.Completion) error {
+func (q *queue) handleCompletion(c nvme.Completion) error {
 	q.mu.Lock()
-	s := q.find(c.CID())
-	if s == nil || !s.written {
+	s := q.findSlot(c.CID())
+	if s == nil || !s.sendStarted {
 		q.mu.Unlock()
-		return q.stray()
+		return q.onUnexpected()
 	}
-	t := s.t
-	o := outcome(c.Status())
-	if o == logic.OK && (s.damaged || s.got < len(t.parts[s.part].in)) && t.attempt != nil {
-		o = logic.Failed // never handed over as good
+	t := s.task
+	o := outcomeOf(c.Status())
+	if o == logic.OK && (s.digestError || s.received < len(t.commands[s.commandIndex].in)) && t.attempt != nil {
+		o = logic.Failed // incomplete or damaged data is never reported as success
 	}
 	if t.reply != nil {
-		t.reply <- reply{c, s.got, nil} // room for one
+		t.reply <- reply{c, s.received, nil} // does not block: the channel has a buffer of one
 	} else if rep, ok := nvme.ParseReport(c.DW0(), c.DW1()); ok && o == logic.OK {
-		if t.told {
+		if t.hasReport {
 			rep.Elsewhere += t.report.Elsewhere
 		}
-		t.report, t.told = rep, true
+		t.report, t.hasReport = rep, true
 	}
 	if t.reply != nil {
-		q.end(s, o)
+		q.finishCommand(s, o)
 		q.mu.Unlock()
 		return nil
 	}
-	t = q.end(s, o)
+	t = q.finishCommand(s, o)
 	q.mu.Unlock()
-	q.done(t)
+	q.finishTask(t)
 	return nil
 }
 
-// data takes a C2HData PDU (TCP Transport, section 3.6.2.7).
-func (q *queue) data(h *nvme.Header) error {
+// handleData handles a C2HData PDU (TCP Transport, section 3.6.2.7).
+func (q *queue) handleData(h *nvme.Header) error {
 	cid, _, off, n := h.Transfer()
 	if int(n) != h.Data {
-		return &nvme.FatalError{Status: nvme.FESHeaderField, Offset: 16, Text: fmt.Sprintf("C2HData of %d bytes says %d", h.Data, n)}
+		return &nvme.FatalError{Status: nvme.FESHeaderField, Offset: 16, Text: fmt.Sprintf("C2HData carries %d bytes, but its header says %d", h.Data, n)}
 	}
 	q.mu.Lock()
-	s := q.find(cid)
-	if s == nil || !s.written {
+	s := q.findSlot(cid)
+	if s == nil || !s.sendStarted {
 		q.mu.Unlock()
-		if err := q.r.Skip(); err != nil {
+		if err := q.reader.Skip(); err != nil {
 			return err
 		}
-		return q.stray()
+		return q.onUnexpected()
 	}
-	in := s.t.parts[s.part].in
+	in := s.task.commands[s.commandIndex].in
 	if uint64(off)+uint64(n) > uint64(len(in)) {
 		q.mu.Unlock()
-		return &nvme.FatalError{Status: nvme.FESOutOfRange, Offset: 12, Text: fmt.Sprintf("C2HData of %d bytes at %d for a command of %d", n, off, len(in))}
+		return &nvme.FatalError{Status: nvme.FESOutOfRange, Offset: 12, Text: fmt.Sprintf("C2HData of %d bytes at offset %d does not fit a command of %d bytes", n, off, len(in))}
 	}
-	// Only this goroutine frees a place that was written, so the buffer stays ours without the lock.
+	// Only this goroutine frees a slot whose command was sent, so the buffer stays valid without the lock.
 	q.mu.Unlock()
-	err := q.r.Data(in[off : off+n])
+	err := q.reader.Data(in[off : off+n])
 	if err != nil && err != nvme.ErrDataDigest {
 		return err
 	}
 	q.mu.Lock()
-	s.damaged = s.damaged || err != nil
-	s.got += int(n)
+	s.digestError = s.digestError || err != nil
+	s.received += int(n)
 	q.mu.Unlock()
 	if h.Flags&nvme.FlagSuccess != 0 {
-		return q.completed(nvme.Complete(cid, 0, nvme.Success, 0, 0))
+		return q.handleCompletion(nvme.Complete(cid, 0, nvme.Success, 0, 0))
 	}
 	return nil
 }
 
-// asked takes an R2T (TCP Transport, section 3.6.2.8). What was dropped is given no data any more: its request has had
-// its answer, and a write that gets its data now would land on top of later ones, long after the rest of their key.
-// Its identifier stays taken, until the abort is answered or package links gives the connection up.
-func (q *queue) asked(h *nvme.Header) error {
+// handleR2T handles an R2T (TCP Transport, section 3.6.2.8). A dropped command gets no more data: its request has been
+// answered, and a write that gets its data now would overwrite later ones, long after the backoff of their key. Its
+// identifier stays in use until the abort is answered or package links gives up the connection.
+func (q *queue) handleR2T(h *nvme.Header) error {
 	cid, tag, off, n := h.Transfer()
 	q.mu.Lock()
-	s := q.find(cid)
-	if s == nil || !s.written {
+	s := q.findSlot(cid)
+	if s == nil || !s.sendStarted {
 		q.mu.Unlock()
-		return q.stray()
+		return q.onUnexpected()
 	}
-	if s.t.dropped {
+	if s.task.dropped {
 		q.mu.Unlock()
 		return nil
 	}
-	out := s.t.parts[s.part].out
-	s.asked += int(n)
-	if n == 0 || uint64(off)+uint64(n) > uint64(len(out)) || s.asked > len(out) {
+	out := s.task.commands[s.commandIndex].out
+	s.requested += int(n)
+	if n == 0 || uint64(off)+uint64(n) > uint64(len(out)) || s.requested > len(out) {
 		q.mu.Unlock()
-		return &nvme.FatalError{Status: nvme.FESOutOfRange, Offset: 12, Text: fmt.Sprintf("R2T for %d bytes at %d of a command of %d", n, off, len(out))}
+		return &nvme.FatalError{Status: nvme.FESOutOfRange, Offset: 12, Text: fmt.Sprintf("R2T for %d bytes at offset %d does not fit a command of %d bytes", n, off, len(out))}
 	}
-	q.items = append(q.items, item{cid: cid, data: true, tag: tag, offset: off, length: n})
+	q.sendQueue = append(q.sendQueue, sendEntry{cid: cid, isData: true, transferTag: tag, offset: off, length: n})
 	q.mu.Unlock()
-	q.nudge()
+	q.wakeWriter()
 	return nil
 }
 
-// call carries out one admin command and waits for its completion.
+// call executes one admin command and waits for its completion.
 func (q *queue) call(ctx context.Context, what string, cmd nvme.Command, out, in []byte) (nvme.Completion, error) {
-	t := &task{reply: make(chan reply, 1), parts: []part{{cmd: cmd, out: out, in: in}}}
+	t := &task{reply: make(chan reply, 1), commands: []command{{sqe: cmd, out: out, in: in}}}
 	if !q.submit(t) {
-		return nvme.Completion{}, fmt.Errorf("nvme: %s: no place in queue %d", what, q.id)
+		return nvme.Completion{}, fmt.Errorf("nvme: %s: no free slot in queue %d", what, q.id)
 	}
 	select {
 	case r := <-t.reply:
@@ -580,8 +586,8 @@
 		if s := r.cqe.Status().Code(); s != nvme.Success {
 			return r.cqe, &nvme.StatusError{Status: s, What: what}
 		}
-		if r.got < len(in) {
-			return r.cqe, fmt.Errorf("nvme: %s: %d of %d bytes came", what, r.got, len(in))
+		if r.received < len(in) {
+			return r.cqe, fmt.Errorf("nvme: %s: received %d of %d bytes", what, r.received, len(in))
 		}
 		return r.cqe, nil
 	case <-ctx.Done():
