--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -47,16 +47,16 @@
 	FeatNumQueues  = 0x07
 	FeatAsyncEvent = 0x0b
 	FeatKeepAlive  = 0x0f
-	// FeatReports is ours, vendor specific: with 1 in CDW11 the completions of I/O commands carry a [Report] in
-	// their first two dwords, and CDW2 and CDW3 of writes a key by which the node drops repeats.
+	// FeatReports is a vendor-specific feature: with 1 in CDW11 the completions of I/O commands carry a [Report] in
+	// their first two dwords, and CDW2 and CDW3 of writes carry a key by which the node drops repeats.
 	FeatReports = 0xc0
 )
 
-// Log pages.
+// Log page identifiers.
 const (
 	LogANA       = 0x0c
 	LogDiscovery = 0x70
-	// LogProcess is ours, vendor specific: the age of the node's process, see [Process].
+	// LogProcess is a vendor-specific log page: the age of the node's process, see [Process].
 	LogProcess = 0xc0
 )
 
@@ -80,28 +80,28 @@
 	binary.LittleEndian.PutUint64(c[4*i:], v)
 }
 
-// Kinds of SGL descriptors used over TCP (TCP Transport, section 3.4).
+// SGL descriptor identifiers used over TCP (TCP Transport, section 3.4).
 const (
 	sglInCapsule = 0x01 // data block, address is an offset
 	sglTransport = 0x5a // transport SGL data block
 )
 
-// New starts a command; flags say that the data pointer is an SGL.
+// New returns a command whose data pointer is an SGL, as its flags say.
 func New(opcode uint8, nsid uint32) Command {
 	var c Command
-	c[0], c[1], c[39] = opcode, 0x40, sglTransport // of no length, until there is data
+	c[0], c[1], c[39] = opcode, 0x40, sglTransport // zero length until there is data
 	c.SetNSID(nsid)
 	return c
 }
 
-// NewFabrics starts a Fabrics command.
+// NewFabrics returns a Fabrics command of the given type.
 func NewFabrics(kind uint8) Command {
 	var c Command
 	c[0], c[1], c[4], c[39] = OpFabrics, 0x40, kind, sglTransport
 	return c
 }
 
-// Data describes the command's data: in its capsule or by transfers.
+// Data sets the length of the command's data and whether it is in the capsule or transferred separately.
 func (c *Command) Data(n uint32, inCapsule bool) {
 	c.Set64(6, 0)
 	c.Set(8, n)
@@ -111,7 +111,7 @@
 	}
 }
 
-// DataLen is the length that the SGL tells, and whether it lies in the capsule.
+// DataLen returns the data length that the SGL descriptor states and whether the data is in the capsule.
 func (c *Command) DataLen() (n uint32, inCapsule bool, err error) {
 	n = c.Dword(8)
 	switch c[39] {
@@ -129,23 +129,23 @@
 	return 0, false, fmt.Errorf("nvme: SGL descriptor %#02x is not used over TCP", c[39])
 }
 
-// FUA is the bit of CDW12 that asks for stable storage before the answer.
+// FUA is the bit of CDW12 that requires data on stable storage before the command completes.
 const FUA = 1 << 30
 
-// Blocks sets a Read's, Write's or Write Zeroes' range: first block and how many, 1 to 65536.
+// Blocks sets the block range of a Read, Write or Write Zeroes: the first block and their number, 1 to 65536.
 func (c *Command) Blocks(first uint64, n uint32) {
 	c.Set64(10, first)
 	c.Set(12, c.Dword(12)&^0xffff|(n-1)&0xffff)
 }
 
-// Range reads it back.
+// Range returns the block range of a Read, Write or Write Zeroes.
 func (c *Command) Range() (first uint64, n uint32) { return c.Quad(10), c.Dword(12)&0xffff + 1 }
 
-// Key is the repeat key of [FeatReports].
+// Key returns the repeat key of [FeatReports].
 func (c *Command) Key() uint64       { return c.Quad(2) }
 func (c *Command) SetKey(key uint64) { c.Set64(2, key) }
 
-// LogPage makes a Get Log Page command for n bytes (a multiple of 4) at an offset.
+// LogPage returns a Get Log Page command for n bytes (a multiple of 4) at an offset.
 func LogPage(id uint8, nsid uint32, offset uint64, n uint32, keepEvent bool) Command {
 	c := New(OpGetLogPage, nsid)
 	dwords := n/4 - 1
@@ -160,7 +160,7 @@
 	return c
 }
 
-// LogRequest reads such a command.
+// LogRequest returns the fields of a Get Log Page command.
 func (c *Command) LogRequest() (id uint8, offset uint64, n uint32) {
 	dwords := c.Dword(10)>>16 | c.Dword(11)<<16
 	return uint8(c.Dword(10)), c.Quad(12), (dwords + 1) * 4
@@ -176,7 +176,7 @@
 func (c *Completion) Status() Status   { return Status(binary.LittleEndian.Uint16(c[14:]) >> 1) }
 func (c *Completion) SetCID(id uint16) { binary.LittleEndian.PutUint16(c[12:], id) }
 
-// Complete makes a completion.
+// Complete returns a completion queue entry.
 func Complete(cid, sqhd uint16, s Status, dw0, dw1 uint32) Completion {
 	var c Completion
 	le := binary.LittleEndian
@@ -188,8 +188,8 @@
 	return c
 }
 
-// Status is a completion's status field without the phase tag: code in bits 0 to 7, type in 8 to 10, retry
-// delay in 11 and 12, more in 13, do not retry in 14 (Base, section 3.3.3.2.1).
+// Status is the status field of a completion without the phase tag: code in bits 0 to 7, type in 8 to 10, retry delay
+// in 11 and 12, more in 13, do not retry in 14 (Base, section 3.3.3.2.1).
 type Status uint16
 
 const (
@@ -222,7 +222,7 @@
 	DoNotRetry Status = 1 << 14
 )
 
-// Code is type and code alone.
+// Code returns the status code type and the status code without the other bits.
 func (s Status) Code() Status { return s & 0x7ff }
 
 var statusNames = map[Status]string{
@@ -244,7 +244,7 @@
 	return fmt.Sprintf("status type %d code %#02x", s>>8&7, uint8(s))
 }
 
-// StatusError is a command's status as an error.
+// StatusError is the error for a command that completed with a status other than success.
 type StatusError struct {
 	Status Status
 	What   string
@@ -252,22 +252,22 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("nvme: %s: %v", e.What, e.Status) }
 
-// Report is a node's load and use meter, as it travels in a completion's first two dwords once
-// [FeatReports] is on.
+// Report is the load and the usage meter of a node, carried in the first two dwords of a completion while [FeatReports]
+// is on.
 type Report struct {
-	Busy      uint8  // percent of its cores in use, 0 to 100; 255: not told
+	Busy      uint8  // percentage of its cores in use, 0 to 100; 255: unknown
 	Holds     uint16 // requests at the node, at most 4095
-	Waits     uint16 // of these, those that wait, at most 4095
+	Waits     uint16 // of these, the waiting ones, at most 4095
 	Elsewhere uint32 // KiB served for the namespace through other hosts since the last answer to this one, at most 2^24-1
 }
 
-// Dwords packs a report.
+// Dwords packs a report into the first two dwords of a completion.
 func (r Report) Dwords() (dw0, dw1 uint32) {
 	dw0 = uint32(r.Busy) | uint32(min(r.Holds, 4095))<<8 | uint32(min(r.Waits, 4095))<<20
 	return dw0, min(r.Elsewhere, 1<<24-1) | 1<<31
 }
 
-// ParseReport unpacks one; ok is false where the dwords hold none.
+// ParseReport unpacks a report; ok is false if the dwords hold none.
 func ParseReport(dw0, dw1 uint32) (r Report, ok bool) {
 	if dw1>>31 == 0 {
 		return r, false
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// stream is what a conforming peer that is not ours would send, written out by hand from the figures of the
-// specification: an ICReq, and a Read of 8 blocks at 0x1122 of namespace 3 by command 0x0102.
+// The expected bytes are written by hand from the figures of the specification, as another conforming implementation
+// would send them: an ICReq, and a Read of 8 blocks at 0x1122 of namespace 3 with command identifier 0x0102.
 func TestKnownBytes(t *testing.T) {
 	ic := make([]byte, 128)
 	copy(ic, []byte{0x00, 0x00, 0x80, 0x00, 0x80, 0x00, 0x00, 0x00, 0x00, 0x00, 0x01, 0x03, 0x00, 0x00, 0x00, 0x00})
@@ -39,24 +39,24 @@
 	if c.Opcode() != OpRead || c.CID() != 0x0102 || c.NSID() != 3 || first != 0x1122 || n != 8 || size != 4096 || in || err != nil {
 		t.Errorf("Read: opcode %d cid %#x nsid %d range %#x+%d, %d bytes in capsule %v, %v", c.Opcode(), c.CID(), c.NSID(), first, n, size, in, err)
 	}
-	mine := New(OpRead, 3)
-	mine.SetCID(0x0102)
-	mine.Blocks(0x1122, 8)
-	mine.Data(4096, false)
+	built := New(OpRead, 3)
+	built.SetCID(0x0102)
+	built.Blocks(0x1122, 8)
+	built.Data(4096, false)
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	w.Capsule(&mine, nil)
+	w.Capsule(&built, nil)
 	w.Flush()
 	if !bytes.Equal(out.Bytes(), capsule) {
 		t.Errorf("built\n%x, want\n%x", out.Bytes(), capsule)
 	}
-	// CRC32C's check value, by which a peer's digest of the same bytes must agree.
+	// The check value of CRC32C, on which the digests of both peers must agree.
 	if got := crc32.Checksum([]byte("123456789"), castagnoli); got != 0xe3069283 {
 		t.Errorf("CRC32C check value %#x", got)
 	}
 }
 
-// What is written is read again, with and without digests, whatever the alignment asked for.
+// PDUs that are written can be read back, with and without digests and with every alignment.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var buf bytes.Buffer
@@ -98,7 +98,7 @@
 	})
 }
 
-// Each header that lies about itself is a fatal error of the right kind, and damage is found by the digests.
+// Each inconsistent header is a fatal error with the right status, and the digests detect damage.
 func TestBadHeaders(t *testing.T) {
 	capsule := func(change func(b []byte)) []byte {
 		var buf bytes.Buffer
@@ -111,7 +111,7 @@
 		change(b)
 		return b
 	}
-	redo := func(b []byte) { binary.LittleEndian.PutUint32(b[72:], crc32.Checksum(b[:72], castagnoli)) }
+	updateDigest := func(b []byte) { binary.LittleEndian.PutUint32(b[72:], crc32.Checksum(b[:72], castagnoli)) }
 	for name, c := range map[string]struct {
 		change func(b []byte)
 		want   FES
@@ -120,11 +120,11 @@
 		"header length":    {func(b []byte) { b[2] = 71 }, FESHeaderField},
 		"header digest":    {func(b []byte) { b[20] ^= 1 }, FESHeaderDigest},
 		"no header digest": {func(b []byte) { b[1] &^= FlagHDGST }, FESHeaderField},
-		"no data digest":   {func(b []byte) { b[1] &^= FlagDDGST; redo(b) }, FESHeaderField},
-		"data inside":      {func(b []byte) { b[3] = 72; redo(b) }, FESHeaderField},
-		"data past":        {func(b []byte) { b[3] = 255; redo(b) }, FESHeaderField},
-		"too long":         {func(b []byte) { binary.LittleEndian.PutUint32(b[4:], 1<<31); redo(b) }, FESHeaderField},
-		"too short":        {func(b []byte) { binary.LittleEndian.PutUint32(b[4:], 60); redo(b) }, FESHeaderField},
+		"no data digest":   {func(b []byte) { b[1] &^= FlagDDGST; updateDigest(b) }, FESHeaderField},
+		"data inside":      {func(b []byte) { b[3] = 72; updateDigest(b) }, FESHeaderField},
+		"data past":        {func(b []byte) { b[3] = 255; updateDigest(b) }, FESHeaderField},
+		"too long":         {func(b []byte) { binary.LittleEndian.PutUint32(b[4:], 1<<31); updateDigest(b) }, FESHeaderField},
+		"too short":        {func(b []byte) { binary.LittleEndian.PutUint32(b[4:], 60); updateDigest(b) }, FESHeaderField},
 	} {
 		r := NewReader(bytes.NewReader(capsule(c.change)), 1<<16)
 		r.HeaderDigest, r.DataDigest = true, true
@@ -144,7 +144,7 @@
 		t.Errorf("damaged data: %v", err)
 	}
 	if err := r.Next(&h); err != io.EOF {
-		t.Errorf("after damaged data the stream stands wrong: %v", err)
+		t.Errorf("wrong position in the stream after damaged data: %v", err)
 	}
 	whole := capsule(func([]byte) {})
 	for cut := 1; cut < len(whole); cut++ {
@@ -166,7 +166,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := ParseConnect(bytes.Repeat([]byte{'x'}, ConnectLen)); err == nil {
-		t.Error("takes a name without an end")
+		t.Error("accepts an unterminated name")
 	}
 	ctl := Controller{Serial: "s", Model: "m", Firmware: "f", MDTS: 5, CNTLID: 9, OAES: EventANA, ANA: true, KAS: 10,
 		MaxCmd: 64, Namespaces: 4, ONCS: 0xc, WriteCache: true, SubNQN: "nqn.c", InCapsule: 64 + 8192, ANAGroups: 2}
@@ -183,7 +183,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := ParseDiscovery(page[:len(page)-1]); err == nil {
-		t.Error("takes a discovery page that is cut short")
+		t.Error("accepts a truncated discovery page")
 	}
 	l := ANALog{Changes: 4, Groups: []ANAGroup{{1, ANAOptimized, []uint32{1, 2}}, {2, ANAIsInaccess, nil}}}
 	b := l.Marshal()
@@ -191,14 +191,14 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	for i := range b {
-		ParseANA(b[:i]) // must not panic; the last group has no list, so a cut may still parse
+		ParseANA(b[:i]) // must not panic; the last group has no list, so a truncated page may still parse
 	}
 	rep := Report{Busy: 90, Holds: 4000, Waits: 17, Elsewhere: 123456}
 	if got, ok := ParseReport(rep.Dwords()); !ok || got != rep {
 		t.Errorf("%+v, %v", got, ok)
 	}
 	if _, ok := ParseReport(0, 0); ok {
-		t.Error("a plain completion is taken for a report")
+		t.Error("a completion without a report parses as one")
 	}
 }
 
@@ -221,7 +221,7 @@
 				return
 			}
 			if h.Data > 1<<16 {
-				t.Fatalf("%d bytes of data past the bound", h.Data)
+				t.Fatalf("%d bytes of data exceed the maximum", h.Data)
 			}
 			h.Params()
 			if err := r.Data(make([]byte, h.Data)); err != nil && err != ErrDataDigest {
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -1,8 +1,7 @@
-// Package nvme holds what both sides of NVMe over TCP share: the PDUs of the NVMe/TCP Transport
-// Specification 1.0, the commands and completions of the NVM Express Base Specification 2.0 and the NVM
-// Command Set Specification 1.0, and the data structures that travel with them. All integers on the wire are
-// little-endian. It parses and builds; it keeps no state of a connection but what framing needs, and decides
-// nothing.
+// Package nvme holds what both sides of NVMe over TCP share: the PDUs of the NVMe/TCP Transport Specification 1.0, the
+// commands and completions of the NVM Express Base Specification 2.0 and the NVM Command Set Specification 1.0, and the
+// data structures that are transferred with them. All integers on the wire are little-endian. The package parses and
+// builds; it keeps no state of a connection beyond what framing needs and makes no decisions.
 package nvme
 
 import (
@@ -14,7 +13,7 @@
 	"io"
 )
 
-// Type is a PDU's type (TCP Transport, section 3.6.1).
+// Type is the type of a PDU (TCP Transport, section 3.6.1).
 type Type uint8
 
 const (
@@ -43,8 +42,8 @@
 const (
 	FlagHDGST   = 1 << 0
 	FlagDDGST   = 1 << 1
-	FlagLast    = 1 << 2 // of H2CData, C2HData: the last of its transfer
-	FlagSuccess = 1 << 3 // of C2HData: no CapsuleResp follows
+	FlagLast    = 1 << 2 // H2CData, C2HData: the last PDU of the transfer
+	FlagSuccess = 1 << 3 // C2HData: no CapsuleResp follows
 )
 
 // Lengths in bytes.
@@ -55,11 +54,11 @@
 	respLen    = 24
 	dataLen    = 24
 	termLen    = 24
-	termMost   = 152 // a termination request carries at most 128 bytes of the PDU at fault
+	maxTermLen = 152 // a termination request carries at most 128 bytes of the offending PDU
 	digestLen  = 4
 )
 
-// headerLen is HLEN by type; 0 for types that are not known.
+// headerLen returns the HLEN of a PDU type, 0 if the type is unknown.
 func headerLen(t Type) int {
 	switch t {
 	case ICReq, ICResp:
@@ -84,73 +83,74 @@
 	FESUnsupported   FES = 6
 )
 
-// FatalError is a violation after which the connection must be terminated.
+// FatalError is a protocol violation after which the connection must be terminated.
 type FatalError struct {
 	Status FES
-	Offset uint32 // of the field at fault, where one can be named
+	Offset uint32 // of the offending field, if one can be named
 	Text   string
 }
 
 func (e *FatalError) Error() string { return "nvme/tcp: " + e.Text }
 
-func fatal(s FES, offset uint32, format string, a ...any) error {
+func fatalf(s FES, offset uint32, format string, a ...any) error {
 	return &FatalError{s, offset, fmt.Sprintf(format, a...)}
 }
 
-// ErrDataDigest says that a PDU's data came damaged; the connection goes on, the command must not succeed.
+// ErrDataDigest reports that the data of a PDU is damaged. The connection stays usable, but the command must not
+// succeed.
 var ErrDataDigest = errors.New("nvme/tcp: data digest does not match")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Header is a PDU's header, checked. Data bytes follow on the connection.
+// Header is the validated header of a PDU. The data follows on the connection.
 type Header struct {
 	Type  Type
 	Flags uint8
-	Data  int // bytes of data that follow
-	Wire  int // bytes of the whole PDU
+	Data  int // length of the data that follows, in bytes
+	Wire  int // length of the whole PDU, in bytes
 	raw   [icLen]byte
 }
 
-// Raw is the header with the common header, as it came; valid until the next is read.
+// Raw returns the header with the common header, as received; valid until the next PDU is read.
 func (h *Header) Raw() []byte { return h.raw[:headerLen(h.Type)] }
 
-// Command is the submission queue entry of a CapsuleCmd; valid until the next PDU is read.
+// Command returns the submission queue entry of a CapsuleCmd; valid until the next PDU is read.
 func (h *Header) Command() *Command { return (*Command)(h.raw[commonLen:capsuleLen]) }
 
-// Completion is the completion queue entry of a CapsuleResp.
+// Completion returns the completion queue entry of a CapsuleResp; valid until the next PDU is read.
 func (h *Header) Completion() *Completion { return (*Completion)(h.raw[commonLen:respLen]) }
 
-// Transfer reads the header of H2CData, C2HData and R2T: command, transfer tag, offset, length.
+// Transfer returns the fields of H2CData, C2HData and R2T: command identifier, transfer tag, offset and length.
 func (h *Header) Transfer() (cid, tag uint16, offset, length uint32) {
 	le := binary.LittleEndian
 	return le.Uint16(h.raw[8:]), le.Uint16(h.raw[10:]), le.Uint32(h.raw[12:]), le.Uint32(h.raw[16:])
 }
 
-// Term reads a termination request's header.
+// Term returns the status and the field offset of a termination request.
 func (h *Header) Term() (FES, uint32) {
 	le := binary.LittleEndian
 	return FES(le.Uint16(h.raw[8:])), le.Uint32(h.raw[10:])
 }
 
-// Params are what ICReq and ICResp settle.
+// Params are the parameters that ICReq and ICResp negotiate.
 type Params struct {
 	Align         int  // data offsets of PDUs to the sender are multiples of this, 4 to 128 bytes
-	HeaderDigest  bool // asked for, or granted
+	HeaderDigest  bool // requested by ICReq, granted by ICResp
 	DataDigest    bool
-	MaxR2T        uint32 // ICReq: R2Ts out for one command at a time
-	MaxH2CData    uint32 // ICResp: data of one H2CData PDU
+	MaxR2T        uint32 // ICReq: maximum number of outstanding R2Ts of one command
+	MaxH2CData    uint32 // ICResp: maximum data length of one H2CData PDU, in bytes
 	FormatVersion uint16
 }
 
-// Params reads ICReq or ICResp (TCP Transport, sections 3.6.2.1 and 3.6.2.2).
+// Params parses ICReq or ICResp (TCP Transport, sections 3.6.2.1 and 3.6.2.2).
 func (h *Header) Params() (Params, error) {
 	le := binary.LittleEndian
 	p := Params{FormatVersion: le.Uint16(h.raw[8:]), HeaderDigest: h.raw[11]&1 != 0, DataDigest: h.raw[11]&2 != 0}
 	if p.FormatVersion != 0 {
-		return p, fatal(FESUnsupported, 8, "%v has PDU format version %d", h.Type, p.FormatVersion)
+		return p, fatalf(FESUnsupported, 8, "%v has PDU format version %d", h.Type, p.FormatVersion)
 	}
 	if h.raw[10] > 31 {
-		return p, fatal(FESHeaderField, 10, "%v has data alignment %d, most is 31", h.Type, h.raw[10])
+		return p, fatalf(FESHeaderField, 10, "%v has data alignment %d, maximum is 31", h.Type, h.raw[10])
 	}
 	p.Align = (int(h.raw[10]) + 1) * 4
 	v := le.Uint32(h.raw[12:])
@@ -162,33 +162,33 @@
 	} else {
 		p.MaxH2CData = v
 		if v < 4096 || v%4 != 0 {
-			return p, fatal(FESHeaderField, 12, "ICResp has MAXH2CDATA %d, least is 4096", v)
+			return p, fatalf(FESHeaderField, 12, "ICResp has MAXH2CDATA %d, minimum is 4096", v)
 		}
 	}
 	return p, nil
 }
 
-// Reader takes PDUs off a connection: every length is checked before a byte of it is believed.
+// Reader reads PDUs from a connection. Every length is validated before it is used.
 type Reader struct {
-	br           *bufio.Reader
-	HeaderDigest bool
-	DataDigest   bool
-	MaxData      int // data of one PDU; more is a fatal error
-	left         int // data of the PDU at hand not read yet
-	digest       bool
-	scratch      [digestLen]byte
+	br            *bufio.Reader
+	HeaderDigest  bool
+	DataDigest    bool
+	MaxData       int // maximum data length of one PDU; more is a fatal error
+	remaining     int // bytes of data of the current PDU that have not been read
+	hasDataDigest bool
+	scratch       [digestLen]byte
 }
 
-// NewReader reads from r. Before ICReq and ICResp have passed no digest is on.
+// NewReader returns a Reader of r. Digests are off until ICReq and ICResp have been exchanged.
 func NewReader(r io.Reader, maxData int) *Reader {
 	return &Reader{br: bufio.NewReaderSize(r, 32<<10), MaxData: maxData}
 }
 
-// Next reads the next PDU's header. The data of the one before must have been read or skipped.
-// At the end of the stream between two PDUs the error is io.EOF, within one io.ErrUnexpectedEOF.
+// Next reads the header of the next PDU. The data of the previous PDU must have been read or skipped. At the end of the
+// stream Next returns io.EOF between two PDUs and io.ErrUnexpectedEOF within one.
 func (r *Reader) Next(h *Header) error {
-	if r.left != 0 {
-		return errors.New("nvme/tcp: data of the last PDU was not read")
+	if r.remaining != 0 {
+		return errors.New("nvme/tcp: data of the previous PDU was not read")
 	}
 	if _, err := io.ReadFull(r.br, h.raw[:commonLen]); err != nil {
 		return err
@@ -196,64 +196,64 @@
 	h.Type, h.Flags = Type(h.raw[0]), h.raw[1]
 	hlen, pdo := int(h.raw[2]), int(h.raw[3])
 	plen := binary.LittleEndian.Uint32(h.raw[4:])
-	want := headerLen(h.Type)
-	if want == 0 {
-		return fatal(FESHeaderField, 0, "%v is not known", h.Type)
+	wantLen := headerLen(h.Type)
+	if wantLen == 0 {
+		return fatalf(FESHeaderField, 0, "unknown %v", h.Type)
 	}
-	if hlen != want {
-		return fatal(FESHeaderField, 2, "%v has HLEN %d, want %d", h.Type, hlen, want)
+	if hlen != wantLen {
+		return fatalf(FESHeaderField, 2, "%v has HLEN %d, want %d", h.Type, hlen, wantLen)
 	}
-	if err := full(r.br, h.raw[commonLen:hlen]); err != nil {
+	if err := readFull(r.br, h.raw[commonLen:hlen]); err != nil {
 		return err
 	}
-	at := hlen
+	headerEnd := hlen
 	if hd := h.Flags&FlagHDGST != 0; hd != r.headerDigested(h.Type) {
-		return fatal(FESHeaderField, 1, "%v has header digest %v, settled was %v", h.Type, hd, !hd)
+		return fatalf(FESHeaderField, 1, "%v has header digest %v, negotiated was %v", h.Type, hd, !hd)
 	} else if hd {
-		if err := full(r.br, r.scratch[:]); err != nil {
+		if err := readFull(r.br, r.scratch[:]); err != nil {
 			return err
 		}
 		if binary.LittleEndian.Uint32(r.scratch[:]) != crc32.Checksum(h.raw[:hlen], castagnoli) {
-			return fatal(FESHeaderDigest, 0, "%v: header digest does not match", h.Type)
+			return fatalf(FESHeaderDigest, 0, "%v: header digest does not match", h.Type)
 		}
-		at += digestLen
+		headerEnd += digestLen
 	}
-	h.Data, h.Wire, r.digest = 0, int(plen), false
-	if plen == uint32(at) {
+	h.Data, h.Wire, r.hasDataDigest = 0, int(plen), false
+	if plen == uint32(headerEnd) {
 		if h.Type == C2HData || h.Type == H2CData {
-			return fatal(FESHeaderField, 4, "%v carries no data", h.Type)
+			return fatalf(FESHeaderField, 4, "%v carries no data", h.Type)
 		}
 		return nil
 	}
-	if !carriesData(h.Type) || plen < uint32(at) {
-		return fatal(FESHeaderField, 4, "%v has PLEN %d, want %d", h.Type, plen, at)
+	if !carriesData(h.Type) || plen < uint32(headerEnd) {
+		return fatalf(FESHeaderField, 4, "%v has PLEN %d, want %d", h.Type, plen, headerEnd)
 	}
 	if h.Type == H2CTermReq || h.Type == C2HTermReq {
-		if plen > termMost {
-			return fatal(FESHeaderField, 4, "%v has PLEN %d", h.Type, plen)
+		if plen > maxTermLen {
+			return fatalf(FESHeaderField, 4, "%v has PLEN %d", h.Type, plen)
 		}
-		h.Data = int(plen) - at
-		r.left = h.Data
+		h.Data = int(plen) - headerEnd
+		r.remaining = h.Data
 		return nil
 	}
-	if pdo < at || pdo%4 != 0 || uint32(pdo) >= plen {
-		return fatal(FESHeaderField, 3, "%v has PDO %d in %d bytes after a header of %d", h.Type, pdo, plen, at)
+	if pdo < headerEnd || pdo%4 != 0 || uint32(pdo) >= plen {
+		return fatalf(FESHeaderField, 3, "%v has PDO %d in %d bytes after a header of %d", h.Type, pdo, plen, headerEnd)
 	}
 	n := int64(plen) - int64(pdo)
 	if dd := h.Flags&FlagDDGST != 0; dd != r.DataDigest {
-		return fatal(FESHeaderField, 1, "%v has data digest %v, settled was %v", h.Type, dd, !dd)
+		return fatalf(FESHeaderField, 1, "%v has data digest %v, negotiated was %v", h.Type, dd, !dd)
 	} else if dd {
-		r.digest = true
+		r.hasDataDigest = true
 		n -= digestLen
 	}
 	if n <= 0 || n > int64(r.MaxData) {
-		return fatal(FESHeaderField, 4, "%v carries %d bytes of data, most is %d", h.Type, n, r.MaxData)
+		return fatalf(FESHeaderField, 4, "%v carries %d bytes of data, maximum is %d", h.Type, n, r.MaxData)
 	}
-	if _, err := r.br.Discard(pdo - at); err != nil {
-		return cut(err)
+	if _, err := r.br.Discard(pdo - headerEnd); err != nil {
+		return unexpectedEOF(err)
 	}
 	h.Data = int(n)
-	r.left = h.Data
+	r.remaining = h.Data
 	return nil
 }
 
@@ -265,20 +265,20 @@
 	return t == CapsuleCmd || t == H2CData || t == C2HData || t == H2CTermReq || t == C2HTermReq
 }
 
-// Data reads the data of the PDU at hand, which must be as long as dst. [ErrDataDigest] leaves the stream
+// Data reads the data of the current PDU, whose length must be that of dst. After [ErrDataDigest] the stream is still
 // intact.
 func (r *Reader) Data(dst []byte) error {
-	if len(dst) != r.left {
-		return fmt.Errorf("nvme/tcp: %d bytes of data, wanted %d", r.left, len(dst))
+	if len(dst) != r.remaining {
+		return fmt.Errorf("nvme/tcp: PDU has %d bytes of data, want %d", r.remaining, len(dst))
 	}
-	if err := full(r.br, dst); err != nil {
+	if err := readFull(r.br, dst); err != nil {
 		return err
 	}
-	r.left = 0
-	if !r.digest {
+	r.remaining = 0
+	if !r.hasDataDigest {
 		return nil
 	}
-	if err := full(r.br, r.scratch[:]); err != nil {
+	if err := readFull(r.br, r.scratch[:]); err != nil {
 		return err
 	}
 	if binary.LittleEndian.Uint32(r.scratch[:]) != crc32.Checksum(dst, castagnoli) {
@@ -287,54 +287,56 @@
 	return nil
 }
 
-// Skip passes over the data of the PDU at hand.
+// Skip discards the data of the current PDU.
 func (r *Reader) Skip() error {
-	n := r.left
-	if r.digest && n > 0 {
+	n := r.remaining
+	if r.hasDataDigest && n > 0 {
 		n += digestLen
 	}
-	r.left = 0
+	r.remaining = 0
 	_, err := r.br.Discard(n)
-	return cut(err)
+	return unexpectedEOF(err)
 }
 
-func full(r io.Reader, b []byte) error {
+// readFull fills b from r. The end of the stream is reported as io.ErrUnexpectedEOF.
+func readFull(r io.Reader, b []byte) error {
 	_, err := io.ReadFull(r, b)
-	return cut(err)
+	return unexpectedEOF(err)
 }
 
-// cut names an end of stream within a PDU.
-func cut(err error) error {
+// unexpectedEOF turns the end of the stream within a PDU into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// Writer puts PDUs on a connection, buffered; Flush sends them. Errors stick, as in bufio.
+// Writer writes PDUs to a connection, buffered; Flush sends them. As in bufio, an error persists for all later calls.
 type Writer struct {
 	bw           *bufio.Writer
 	HeaderDigest bool
 	DataDigest   bool
-	Align        int // of data, as the peer asked
-	raw          [icLen + digestLen + 128]byte
+	Align        int // of data, as the peer requested
+	buf          [icLen + digestLen + 128]byte
 }
 
-// NewWriter writes to w.
+// NewWriter returns a Writer to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bw: bufio.NewWriterSize(w, 64<<10), Align: 4} }
 
-// Flush sends what is buffered.
+// Flush sends the buffered PDUs.
 func (w *Writer) Flush() error { return w.bw.Flush() }
 
-// Capsules and transfers differ only in their headers' lengths, so a sender can tell before it sends what will cross.
+// Capsules and transfers differ only in the length of their headers, so a sender can compute the size of a PDU before
+// it sends it.
 
-// CapsuleSize is how many bytes a command with so much in-capsule data takes.
-func (w *Writer) CapsuleSize(data int) int { return w.size(capsuleLen, data) }
+// CapsuleSize returns the length in bytes of a command capsule with data bytes of in-capsule data.
+func (w *Writer) CapsuleSize(data int) int { return w.pduSize(capsuleLen, data) }
 
-// TransferSize is how many bytes an H2CData PDU with so much data takes.
-func (w *Writer) TransferSize(data int) int { return w.size(dataLen, data) }
+// TransferSize returns the length in bytes of an H2CData PDU with data bytes of data.
+func (w *Writer) TransferSize(data int) int { return w.pduSize(dataLen, data) }
 
-func (w *Writer) size(header, data int) int {
+func (w *Writer) pduSize(header, data int) int {
 	if w.HeaderDigest {
 		header += digestLen
 	}
@@ -348,31 +350,31 @@
 	return n
 }
 
-// put frames a PDU: header is what follows the common header.
-func (w *Writer) put(t Type, flags uint8, header, data []byte) error {
+// writePDU writes a PDU; header is the part of its header that follows the common header.
+func (w *Writer) writePDU(t Type, flags uint8, header, data []byte) error {
 	hlen := commonLen + len(header)
-	at := hlen
+	headerEnd := hlen
 	digested := w.HeaderDigest && t != ICReq && t != ICResp && t != H2CTermReq && t != C2HTermReq
 	if digested {
 		flags |= FlagHDGST
-		at += digestLen
+		headerEnd += digestLen
 	}
-	plen, pdo := at, 0
-	term := t == H2CTermReq || t == C2HTermReq
+	plen, pdo := headerEnd, 0
+	isTerm := t == H2CTermReq || t == C2HTermReq
 	if len(data) > 0 {
-		pdo = at
-		if !term {
-			pdo = (at + w.Align - 1) / w.Align * w.Align
+		pdo = headerEnd
+		if !isTerm {
+			pdo = (headerEnd + w.Align - 1) / w.Align * w.Align
 		}
 		plen = pdo + len(data)
-		if w.DataDigest && !term {
+		if w.DataDigest && !isTerm {
 			flags |= FlagDDGST
 			plen += digestLen
 		}
 	}
-	b := w.raw[:0]
+	b := w.buf[:0]
 	b = append(b, uint8(t), flags, uint8(hlen), uint8(pdo))
-	if term {
+	if isTerm {
 		b[3] = 0
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(plen))
@@ -385,9 +387,9 @@
 	}
 	w.bw.Write(b)
 	_, err := w.bw.Write(data)
-	if len(data) > 0 && w.DataDigest && !term {
-		binary.LittleEndian.PutUint32(w.raw[:], crc32.Checksum(data, castagnoli))
-		_, err = w.bw.Write(w.raw[:digestLen])
+	if len(data) > 0 && w.DataDigest && !isTerm {
+		binary.LittleEndian.PutUint32(w.buf[:], crc32.Checksum(data, castagnoli))
+		_, err = w.bw.Write(w.buf[:digestLen])
 	}
 	return err
 }
@@ -407,16 +409,16 @@
 	} else {
 		binary.LittleEndian.PutUint32(b[4:], p.MaxH2CData)
 	}
-	return w.put(t, 0, b[:], nil)
+	return w.writePDU(t, 0, b[:], nil)
 }
 
 // Capsule sends a command with its in-capsule data, if any.
-func (w *Writer) Capsule(c *Command, data []byte) error { return w.put(CapsuleCmd, 0, c[:], data) }
+func (w *Writer) Capsule(c *Command, data []byte) error { return w.writePDU(CapsuleCmd, 0, c[:], data) }
 
 // Response sends a completion.
-func (w *Writer) Response(c *Completion) error { return w.put(CapsuleResp, 0, c[:], nil) }
+func (w *Writer) Response(c *Completion) error { return w.writePDU(CapsuleResp, 0, c[:], nil) }
 
-// Transfer sends H2CData, C2HData or R2T; for an R2T data is nil and length is what is asked for.
+// Transfer sends H2CData, C2HData or R2T; for an R2T data is nil and length is the number of bytes requested.
 func (w *Writer) Transfer(t Type, flags uint8, cid, tag uint16, offset, length uint32, data []byte) error {
 	var b [dataLen - commonLen]byte
 	le := binary.LittleEndian
@@ -424,14 +426,14 @@
 	le.PutUint16(b[2:], tag)
 	le.PutUint32(b[4:], offset)
 	le.PutUint32(b[8:], length)
-	return w.put(t, flags, b[:], data)
+	return w.writePDU(t, flags, b[:], data)
 }
 
-// Terminate sends a termination request for the error, with the header at fault.
+// Terminate sends a termination request for the error, with the offending header.
 func (w *Writer) Terminate(t Type, e *FatalError, header []byte) error {
 	var b [termLen - commonLen]byte
 	binary.LittleEndian.PutUint16(b[0:], uint16(e.Status))
 	binary.LittleEndian.PutUint32(b[2:], e.Offset)
-	w.put(t, 0, b[:], header[:min(len(header), termMost-termLen)])
+	w.writePDU(t, 0, b[:], header[:min(len(header), maxTermLen-termLen)])
 	return w.Flush()
 }
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -11,7 +11,7 @@
 // DiscoveryNQN is the well-known name of a discovery subsystem (Base, section 4.5).
 const DiscoveryNQN = "nqn.2014-08.org.nvmexpress.discovery"
 
-// ConnectData is what a Connect command carries: 1024 bytes (Base, section 6.3).
+// ConnectData is the data of a Connect command: 1024 bytes (Base, section 6.3).
 type ConnectData struct {
 	HostID  [16]byte
 	CNTLID  uint16
@@ -25,7 +25,7 @@
 	CNTLIDAny   = 0xffff
 )
 
-// Marshal lays it out.
+// Marshal encodes the data of a Connect command.
 func (d *ConnectData) Marshal() []byte {
 	b := make([]byte, ConnectLen)
 	copy(b, d.HostID[:])
@@ -35,28 +35,29 @@
 	return b
 }
 
-// ParseConnect reads it.
+// ParseConnect decodes the data of a Connect command.
 func ParseConnect(b []byte) (d ConnectData, err error) {
 	if len(b) != ConnectLen {
 		return d, fmt.Errorf("nvme: Connect carries %d bytes, want %d", len(b), ConnectLen)
 	}
 	copy(d.HostID[:], b)
 	d.CNTLID = binary.LittleEndian.Uint16(b[16:])
-	if d.SubNQN, err = nqn(b[256:512]); err == nil {
-		d.HostNQN, err = nqn(b[512:768])
+	if d.SubNQN, err = parseNQN(b[256:512]); err == nil {
+		d.HostNQN, err = parseNQN(b[512:768])
 	}
 	return d, err
 }
 
-func nqn(b []byte) (string, error) {
+// parseNQN returns the zero-terminated NVMe qualified name at the start of b.
+func parseNQN(b []byte) (string, error) {
 	i := bytes.IndexByte(b, 0)
 	if i < 0 || i > 223 {
-		return "", errors.New("nvme: a qualified name is not ended within 223 bytes")
+		return "", errors.New("nvme: NQN is not terminated within 223 bytes")
 	}
 	return string(b[:i]), nil
 }
 
-// Connect makes the Connect command of a queue: size is the number of its entries.
+// Connect returns the Connect command of a queue; size is the number of its entries.
 func Connect(qid uint16, size int, keepAliveMS uint32) Command {
 	c := NewFabrics(FabricsConnect)
 	binary.LittleEndian.PutUint16(c[42:], qid)
@@ -66,13 +67,13 @@
 	return c
 }
 
-// ConnectRequest reads one.
+// ConnectRequest returns the fields of a Connect command.
 func (c *Command) ConnectRequest() (format, qid uint16, size int, keepAliveMS uint32) {
 	le := binary.LittleEndian
 	return le.Uint16(c[40:]), le.Uint16(c[42:]), int(le.Uint16(c[44:])) + 1, c.Dword(12)
 }
 
-// PropertyGet and PropertySet make property commands.
+// PropertyGet returns a Property Get command; wide is for properties of 8 bytes.
 func PropertyGet(offset uint32, wide bool) Command {
 	c := NewFabrics(FabricsPropertyGet)
 	if wide {
@@ -82,6 +83,7 @@
 	return c
 }
 
+// PropertySet returns a Property Set command.
 func PropertySet(offset uint32, v uint64) Command {
 	c := NewFabrics(FabricsPropertySet)
 	c.Set(11, offset)
@@ -92,24 +94,24 @@
 // Controller is the part of the Identify Controller structure that is used here (Base, section 5.17.2.1).
 type Controller struct {
 	Serial, Model, Firmware string
-	MDTS                    uint8 // most data of a command, 2^MDTS pages of 4 KiB; 0: no bound
+	MDTS                    uint8 // maximum data length of a command, 2^MDTS pages of 4 KiB; 0: unlimited
 	CNTLID                  uint16
 	Version                 uint32
-	OAES                    uint32 // events it can send
+	OAES                    uint32 // asynchronous events it can send
 	ANA                     bool
-	KAS                     uint16 // granularity of keep-alive, in 100 ms
+	KAS                     uint16 // granularity of the keep-alive time, in 100 ms
 	MaxCmd                  uint16
 	Namespaces              uint32
 	ONCS                    uint16 // optional commands
 	WriteCache              bool
 	SGLs                    uint32
 	SubNQN                  string
-	InCapsule               int // bytes of a command's capsule, 64 and in-capsule data
+	InCapsule               int // maximum capsule size of a command in bytes: 64 and the in-capsule data
 	ANAGroups               uint32
 	Discovery               bool
 }
 
-// Bits of OAES and of what Set Features Async Event takes.
+// Bits of OAES, which Set Features Async Event also takes, and of ONCS.
 const (
 	EventNamespace = 1 << 8
 	EventANA       = 1 << 11
@@ -119,13 +121,13 @@
 	ONCSWriteZeroes = 1 << 3
 )
 
-// Marshal lays it out.
+// Marshal encodes the Identify Controller structure.
 func (c *Controller) Marshal() []byte {
 	b := make([]byte, IdentifyLen)
 	le := binary.LittleEndian
-	pad(b[4:24], c.Serial)
-	pad(b[24:64], c.Model)
-	pad(b[64:72], c.Firmware)
+	padSpaces(b[4:24], c.Serial)
+	padSpaces(b[24:64], c.Model)
+	padSpaces(b[64:72], c.Firmware)
 	b[77] = c.MDTS
 	le.PutUint16(b[78:], c.CNTLID)
 	le.PutUint32(b[80:], c.Version)
@@ -134,8 +136,8 @@
 	if c.Discovery {
 		b[111] = 2
 	}
-	b[258] = 3 // ACL: four Aborts at a time
-	b[259] = 3 // AERL: four event requests
+	b[258] = 3 // ACL: up to four Aborts at a time
+	b[259] = 3 // AERL: up to four outstanding event requests
 	le.PutUint16(b[320:], c.KAS)
 	if c.ANA {
 		b[76] |= 1 << 3
@@ -160,10 +162,10 @@
 	return b
 }
 
-// ParseController reads it.
+// ParseController decodes the Identify Controller structure.
 func ParseController(b []byte) (c Controller, err error) {
 	if len(b) != IdentifyLen {
-		return c, fmt.Errorf("nvme: Identify gave %d bytes, want %d", len(b), IdentifyLen)
+		return c, fmt.Errorf("nvme: Identify returned %d bytes, want %d", len(b), IdentifyLen)
 	}
 	le := binary.LittleEndian
 	text := func(b []byte) string { return strings.TrimRight(string(b), " \x00") }
@@ -176,7 +178,7 @@
 	}
 	capsule := le.Uint32(b[1792:])
 	if capsule > 1<<20 {
-		return c, fmt.Errorf("nvme: Identify gives IOCCSZ %d", capsule)
+		return c, fmt.Errorf("nvme: Identify Controller states IOCCSZ %d", capsule)
 	}
 	c.InCapsule = int(capsule) * 16
 	if icdoff := le.Uint16(b[1800:]); icdoff != 0 {
@@ -188,7 +190,8 @@
 	return c, nil
 }
 
-func pad(b []byte, s string) {
+// padSpaces copies s to b and fills the rest of b with spaces.
+func padSpaces(b []byte, s string) {
 	for i := copy(b, s); i < len(b); i++ {
 		b[i] = ' '
 	}
@@ -203,7 +206,7 @@
 	Metadata  bool // blocks carry metadata; such a namespace is not used
 }
 
-// Marshal lays it out.
+// Marshal encodes the Identify Namespace structure.
 func (n *Namespace) Marshal() []byte {
 	b := make([]byte, IdentifyLen)
 	le := binary.LittleEndian
@@ -221,22 +224,22 @@
 	return b
 }
 
-// ParseNamespace reads it.
+// ParseNamespace decodes the Identify Namespace structure.
 func ParseNamespace(b []byte) (n Namespace, err error) {
 	if len(b) != IdentifyLen {
-		return n, fmt.Errorf("nvme: Identify gave %d bytes, want %d", len(b), IdentifyLen)
+		return n, fmt.Errorf("nvme: Identify returned %d bytes, want %d", len(b), IdentifyLen)
 	}
 	le := binary.LittleEndian
 	format := int(b[26]&0xf | b[26]>>1&0x30)
 	lbaf := b[128+4*format:]
 	if lbaf[2] < 9 || lbaf[2] > 16 {
-		return n, fmt.Errorf("nvme: namespace has blocks of 2^%d bytes", lbaf[2])
+		return n, fmt.Errorf("nvme: unsupported block size of 2^%d bytes", lbaf[2])
 	}
 	return Namespace{Blocks: le.Uint64(b[0:]), BlockSize: 1 << lbaf[2], ANAGroup: le.Uint32(b[92:]),
 		ReadOnly: b[99]&1 != 0, Metadata: le.Uint16(lbaf) != 0}, nil
 }
 
-// ANAState is the state of a group of namespaces (Base, section 8.1).
+// ANAState is the state of a group of namespaces, an ANA group (Base, section 8.1).
 type ANAState uint8
 
 const (
@@ -247,20 +250,20 @@
 	ANAIsChange     ANAState = 0xf
 )
 
-// ANAGroup is one descriptor of the ANA log page.
+// ANAGroup is a group descriptor of the ANA log page.
 type ANAGroup struct {
 	ID         uint32
 	State      ANAState
 	Namespaces []uint32
 }
 
-// ANALog is the log page 0Ch.
+// ANALog is the ANA log page, 0Ch.
 type ANALog struct {
 	Changes uint64
 	Groups  []ANAGroup
 }
 
-// Marshal lays it out.
+// Marshal encodes the ANA log page.
 func (l *ANALog) Marshal() []byte {
 	le := binary.LittleEndian
 	b := le.AppendUint64(nil, l.Changes)
@@ -279,23 +282,23 @@
 	return b
 }
 
-// ParseANA reads as many descriptors as the page says; what lies behind them is not looked at.
+// ParseANA decodes as many group descriptors as the page states and ignores what follows them.
 func ParseANA(b []byte) (l ANALog, err error) {
 	le := binary.LittleEndian
 	if len(b) < 16 {
-		return l, errors.New("nvme: ANA log page is cut short")
+		return l, errors.New("nvme: ANA log page is truncated")
 	}
 	l.Changes = le.Uint64(b)
 	count := int(le.Uint16(b[8:]))
 	b = b[16:]
 	for i := range count {
 		if len(b) < 32 {
-			return l, fmt.Errorf("nvme: ANA log page is cut short in group %d of %d", i, count)
+			return l, fmt.Errorf("nvme: ANA log page is truncated in group %d of %d", i, count)
 		}
 		g := ANAGroup{ID: le.Uint32(b), State: ANAState(b[16] & 0xf)}
 		n := le.Uint32(b[4:])
 		if b = b[32:]; uint64(n)*4 > uint64(len(b)) {
-			return l, fmt.Errorf("nvme: ANA log page is cut short in group %d of %d", i, count)
+			return l, fmt.Errorf("nvme: ANA log page is truncated in group %d of %d", i, count)
 		}
 		for range n {
 			g.Namespaces = append(g.Namespaces, le.Uint32(b))
@@ -319,7 +322,7 @@
 	Address   string
 }
 
-// Lengths and kinds of the discovery log page.
+// Lengths and codes of the discovery log page.
 const (
 	DiscoveryHeaderLen = 1024
 	DiscoveryEntryLen  = 1024
@@ -334,7 +337,7 @@
 	Entries    []DiscoveryEntry
 }
 
-// Marshal lays it out.
+// Marshal encodes the discovery log page.
 func (d *Discovery) Marshal() []byte {
 	le := binary.LittleEndian
 	b := make([]byte, DiscoveryHeaderLen+DiscoveryEntryLen*len(d.Entries))
@@ -346,17 +349,17 @@
 		le.PutUint16(x[4:], e.Port)
 		le.PutUint16(x[6:], e.CNTLID)
 		le.PutUint16(x[8:], e.AdminSize)
-		pad(x[32:64], e.Service)
+		padSpaces(x[32:64], e.Service)
 		copy(x[256:511], e.NQN)
-		pad(x[512:768], e.Address)
+		padSpaces(x[512:768], e.Address)
 	}
 	return b
 }
 
-// ParseDiscoveryHeader reads the generation and the number of entries.
+// ParseDiscoveryHeader returns the generation counter and the number of entries of the discovery log page.
 func ParseDiscoveryHeader(b []byte) (generation, entries uint64, err error) {
 	if len(b) < 18 {
-		return 0, 0, errors.New("nvme: discovery log page is cut short")
+		return 0, 0, errors.New("nvme: discovery log page is truncated")
 	}
 	le := binary.LittleEndian
 	if f := le.Uint16(b[16:]); f != 0 {
@@ -365,7 +368,7 @@
 	return le.Uint64(b), le.Uint64(b[8:]), nil
 }
 
-// ParseDiscovery reads the whole page.
+// ParseDiscovery decodes the discovery log page.
 func ParseDiscovery(b []byte) (d Discovery, err error) {
 	var n uint64
 	if d.Generation, n, err = ParseDiscoveryHeader(b); err != nil {
@@ -380,7 +383,7 @@
 		le := binary.LittleEndian
 		e := DiscoveryEntry{Transport: x[0], Family: x[1], Subsystem: x[2], Port: le.Uint16(x[4:]), CNTLID: le.Uint16(x[6:]),
 			AdminSize: le.Uint16(x[8:]), Service: text(x[32:64]), Address: text(x[512:768])}
-		if e.NQN, err = nqn(x[256:512]); err != nil {
+		if e.NQN, err = parseNQN(x[256:512]); err != nil {
 			return d, fmt.Errorf("entry %d: %w", i, err)
 		}
 		d.Entries = append(d.Entries, e)
@@ -388,13 +391,13 @@
 	return d, nil
 }
 
-// Process is the log page [LogProcess]: 16 bytes, version 1 and the process's age in microseconds.
+// Process is the log page [LogProcess]: 16 bytes with version 1 and the age of the process in microseconds.
 type Process struct{ Age uint64 }
 
-// ProcessLen is its length.
+// ProcessLen is the length of the process log page in bytes.
 const ProcessLen = 16
 
-// Marshal lays it out.
+// Marshal encodes the process log page.
 func (p Process) Marshal() []byte {
 	b := make([]byte, ProcessLen)
 	binary.LittleEndian.PutUint32(b, 1)
@@ -402,15 +405,15 @@
 	return b
 }
 
-// ParseProcess reads it.
+// ParseProcess decodes the process log page.
 func ParseProcess(b []byte) (Process, error) {
 	if len(b) != ProcessLen || binary.LittleEndian.Uint32(b) != 1 {
-		return Process{}, errors.New("nvme: process log page is of no known version")
+		return Process{}, errors.New("nvme: process log page has an unknown length or version")
 	}
 	return Process{binary.LittleEndian.Uint64(b[8:])}, nil
 }
 
-// DSMRange makes a Dataset Management range list with one entry.
+// DSMRange returns a Dataset Management range list with one entry.
 func DSMRange(first uint64, n uint32) []byte {
 	b := make([]byte, 16)
 	binary.LittleEndian.PutUint32(b[4:], n)
@@ -418,7 +421,7 @@
 	return b
 }
 
-// ParseDSM calls f for each range of a list.
+// ParseDSM calls f for each range of a Dataset Management range list.
 func ParseDSM(b []byte, f func(first uint64, n uint32)) error {
 	if len(b) == 0 || len(b)%16 != 0 || len(b) > 4096 {
 		return fmt.Errorf("nvme: Dataset Management carries %d bytes", len(b))
