--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -86,8 +86,8 @@
 	sglTransport = 0x5a // transport SGL data block
 )
 
-// New returns a command whose data pointer is an SGL, as its flags say.
-func New(opcode uint8, nsid uint32) Command {
+// NewCommand returns a command whose data pointer is an SGL, as its flags say.
+func NewCommand(opcode uint8, nsid uint32) Command {
 	var c Command
 	c[0], c[1], c[39] = opcode, 0x40, sglTransport // zero length until there is data
 	c.SetNSID(nsid)
@@ -147,7 +147,7 @@
 
 // LogPage returns a Get Log Page command for n bytes (a multiple of 4) at an offset.
 func LogPage(id uint8, nsid uint32, offset uint64, n uint32, keepEvent bool) Command {
-	c := New(OpGetLogPage, nsid)
+	c := NewCommand(OpGetLogPage, nsid)
 	dwords := n/4 - 1
 	d10 := uint32(id) | dwords<<16
 	if keepEvent {
--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -98,13 +98,13 @@
 	}
 	events := make(chan reply, 4)
 	if ctl.OAES&nvme.EventDiscovery != 0 {
-		c := nvme.New(nvme.OpSetFeatures, 0)
+		c := nvme.NewCommand(nvme.OpSetFeatures, 0)
 		c.Set(10, nvme.FeatAsyncEvent)
 		c.Set(11, nvme.EventDiscovery)
 		if _, err := q.call(setup, "Set Features Async Event", c, nil, nil); err != nil && !isStatus(err) {
 			return err
 		}
-		q.submit(&task{reply: events, commands: []command{{sqe: nvme.New(nvme.OpAsyncEvent, 0)}}})
+		q.submit(&task{reply: events, commands: []command{{sqe: nvme.NewCommand(nvme.OpAsyncEvent, 0)}}})
 	}
 	up()
 	keepAliveTicker := time.NewTicker(keepAlive / 4)
@@ -128,10 +128,10 @@
 			if r.err != nil {
 				return r.err
 			}
-			q.submit(&task{reply: events, commands: []command{{sqe: nvme.New(nvme.OpAsyncEvent, 0)}}})
+			q.submit(&task{reply: events, commands: []command{{sqe: nvme.NewCommand(nvme.OpAsyncEvent, 0)}}})
 		case <-keepAliveTicker.C:
 			t.Stop()
-			if _, err := q.call(ctx, "Keep Alive", nvme.New(nvme.OpKeepAlive, 0), nil, nil); err != nil && !isStatus(err) {
+			if _, err := q.call(ctx, "Keep Alive", nvme.NewCommand(nvme.OpKeepAlive, 0), nil, nil); err != nil && !isStatus(err) {
 				return err
 			}
 		}
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -278,7 +278,7 @@
 	}
 	s.writeZeroes, s.dsm = s.ctl.ONCS&nvme.ONCSWriteZeroes != 0, s.ctl.ONCS&nvme.ONCSDSM != 0
 
-	c := nvme.New(nvme.OpSetFeatures, 0)
+	c := nvme.NewCommand(nvme.OpSetFeatures, 0)
 	c.Set(10, nvme.FeatNumQueues)
 	c.Set(11, uint32(n.cfg.Queues-1)|uint32(n.cfg.Queues-1)<<16)
 	cqe, err := admin.call(ctx, "Set Features Number of Queues", c, nil, nil)
@@ -303,7 +303,7 @@
 		s.queues = append(s.queues, q)
 	}
 	// Vendor-specific features: a standard node answers with an error and works without them.
-	c = nvme.New(nvme.OpSetFeatures, 0)
+	c = nvme.NewCommand(nvme.OpSetFeatures, 0)
 	c.Set(10, nvme.FeatReports)
 	c.Set(11, 1)
 	_, err = admin.call(ctx, "Set Features reports", c, nil, nil)
@@ -323,7 +323,7 @@
 		return nil, nil, err
 	}
 	if events := s.ctl.OAES & (nvme.EventANA | nvme.EventNamespace); events != 0 {
-		c = nvme.New(nvme.OpSetFeatures, 0)
+		c = nvme.NewCommand(nvme.OpSetFeatures, 0)
 		c.Set(10, nvme.FeatAsyncEvent)
 		c.Set(11, events)
 		if _, err := admin.call(ctx, "Set Features Async Event", c, nil, nil); err != nil && !isStatus(err) {
@@ -425,7 +425,7 @@
 }
 
 func identify(ctx context.Context, admin *queue, cns uint8, nsid uint32, page []byte) error {
-	c := nvme.New(nvme.OpIdentify, nsid)
+	c := nvme.NewCommand(nvme.OpIdentify, nsid)
 	c.Set(10, uint32(cns))
 	c.Data(nvme.IdentifyLen, false)
 	_, err := admin.call(ctx, "Identify", c, nil, page)
@@ -461,7 +461,7 @@
 func (n *Node) maintain(ctx context.Context, s *session, admin *queue) error {
 	events := make(chan reply, 4)
 	requestEvent := func() bool {
-		c := nvme.New(nvme.OpAsyncEvent, 0)
+		c := nvme.NewCommand(nvme.OpAsyncEvent, 0)
 		return admin.submit(&task{reply: events, commands: []command{{sqe: c}}})
 	}
 	if s.ctl.OAES&(nvme.EventANA|nvme.EventNamespace) != 0 {
@@ -489,7 +489,7 @@
 			continue
 		case a := <-n.aborts:
 			n.Counts.Aborts.Add(1)
-			c := nvme.New(nvme.OpAbort, 0)
+			c := nvme.NewCommand(nvme.OpAbort, 0)
 			c.Set(10, uint32(a[0])|uint32(a[1])<<16)
 			admin.submit(&task{reply: make(chan reply, 1), commands: []command{{sqe: c}}}) // its answer is not used
 			continue
@@ -503,7 +503,7 @@
 		now := n.cfg.Now()
 		if n.cfg.KeepAlive > 0 && now >= nextKeepAlive && pendingKeepAlive == nil {
 			lastKeepAlive = now
-			t := &task{reply: make(chan reply, 1), commands: []command{{sqe: nvme.New(nvme.OpKeepAlive, 0)}}}
+			t := &task{reply: make(chan reply, 1), commands: []command{{sqe: nvme.NewCommand(nvme.OpKeepAlive, 0)}}}
 			if admin.submit(t) {
 				pendingKeepAlive = t.reply
 			}
@@ -627,7 +627,7 @@
 		if !s.ctl.WriteCache {
 			return logic.OK, false // completed writes are already stored
 		}
-		t.commands = append(t.commands, command{sqe: nvme.New(nvme.OpFlush, a.Namespace)})
+		t.commands = append(t.commands, command{sqe: nvme.NewCommand(nvme.OpFlush, a.Namespace)})
 		return 0, true
 	}
 	blockSize := int64(ns.BlockSize)
@@ -650,7 +650,7 @@
 		if !s.dsm {
 			return logic.OK, false // a hint that this node does not support
 		}
-		c := nvme.New(nvme.OpDSM, a.Namespace)
+		c := nvme.NewCommand(nvme.OpDSM, a.Namespace)
 		c.Set(11, 1<<2) // deallocate
 		list := nvme.DSMRange(uint64(a.Offset/blockSize), uint32(a.Len/blockSize))
 		t.commands = append(t.commands, command{sqe: c, out: list})
@@ -660,7 +660,7 @@
 	data := a.Bytes()
 	for off := int64(0); off < a.Len; off += maxLen {
 		size := min(maxLen, a.Len-off)
-		p := command{sqe: nvme.New(opcode, a.Namespace)}
+		p := command{sqe: nvme.NewCommand(opcode, a.Namespace)}
 		p.sqe.Blocks(uint64((a.Offset+off)/blockSize), uint32(size/blockSize))
 		if a.Durable {
 			p.sqe.Set(12, p.sqe.Dword(12)|nvme.FUA)
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -39,7 +39,7 @@
 	if c.Opcode() != OpRead || c.CID() != 0x0102 || c.NSID() != 3 || first != 0x1122 || n != 8 || size != 4096 || in || err != nil {
 		t.Errorf("Read: opcode %d cid %#x nsid %d range %#x+%d, %d bytes in capsule %v, %v", c.Opcode(), c.CID(), c.NSID(), first, n, size, in, err)
 	}
-	built := New(OpRead, 3)
+	built := NewCommand(OpRead, 3)
 	built.SetCID(0x0102)
 	built.Blocks(0x1122, 8)
 	built.Data(4096, false)
@@ -65,7 +65,7 @@
 		r.HeaderDigest, r.DataDigest = w.HeaderDigest, w.DataDigest
 		w.Align = 4 * rapid.IntRange(1, 32).Draw(t, "align")
 		data := rapid.SliceOfN(rapid.Byte(), 1, 5000).Draw(t, "data")
-		cmd := New(OpWrite, 7)
+		cmd := NewCommand(OpWrite, 7)
 		cmd.Data(uint32(len(data)), true)
 		resp := Complete(5, 6, InternalError|DoNotRetry, 7, 8)
 		w.Capsule(&cmd, data)
@@ -104,7 +104,7 @@
 		var buf bytes.Buffer
 		w := NewWriter(&buf)
 		w.HeaderDigest, w.DataDigest = true, true
-		c := New(OpWrite, 1)
+		c := NewCommand(OpWrite, 1)
 		w.Capsule(&c, make([]byte, 512))
 		w.Flush()
 		b := buf.Bytes()
@@ -205,7 +205,7 @@
 func FuzzReader(f *testing.F) {
 	var buf bytes.Buffer
 	w := NewWriter(&buf)
-	c := New(OpWrite, 1)
+	c := NewCommand(OpWrite, 1)
 	w.Capsule(&c, make([]byte, 16))
 	w.Transfer(C2HData, 0, 1, 1, 0, 4, []byte{1, 2, 3, 4})
 	w.Init(ICResp, Params{Align: 4, MaxH2CData: 4096})
