--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -67,15 +67,15 @@
 	CNSActive     = 0x02
 )
 
-func (c *Command) Opcode() uint8       { return c[0] }
-func (c *Command) CID() uint16         { return binary.LittleEndian.Uint16(c[2:]) }
-func (c *Command) SetCID(id uint16)    { binary.LittleEndian.PutUint16(c[2:], id) }
-func (c *Command) NSID() uint32        { return binary.LittleEndian.Uint32(c[4:]) }
-func (c *Command) SetNSID(id uint32)   { binary.LittleEndian.PutUint32(c[4:], id) }
-func (c *Command) FabricsType() uint8  { return c[4] }
-func (c *Command) Dword(i int) uint32  { return binary.LittleEndian.Uint32(c[4*i:]) }
-func (c *Command) Set(i int, v uint32) { binary.LittleEndian.PutUint32(c[4*i:], v) }
-func (c *Command) Quad(i int) uint64   { return binary.LittleEndian.Uint64(c[4*i:]) }
+func (c *Command) Opcode() uint8            { return c[0] }
+func (c *Command) CID() uint16              { return binary.LittleEndian.Uint16(c[2:]) }
+func (c *Command) SetCID(id uint16)         { binary.LittleEndian.PutUint16(c[2:], id) }
+func (c *Command) NSID() uint32             { return binary.LittleEndian.Uint32(c[4:]) }
+func (c *Command) SetNSID(id uint32)        { binary.LittleEndian.PutUint32(c[4:], id) }
+func (c *Command) FabricsType() uint8       { return c[4] }
+func (c *Command) Dword(i int) uint32       { return binary.LittleEndian.Uint32(c[4*i:]) }
+func (c *Command) SetDword(i int, v uint32) { binary.LittleEndian.PutUint32(c[4*i:], v) }
+func (c *Command) Quad(i int) uint64        { return binary.LittleEndian.Uint64(c[4*i:]) }
 func (c *Command) Set64(i int, v uint64) {
 	binary.LittleEndian.PutUint64(c[4*i:], v)
 }
@@ -104,8 +104,8 @@
 // Data sets the length of the command's data and whether it is in the capsule or transferred separately.
 func (c *Command) Data(n uint32, inCapsule bool) {
 	c.Set64(6, 0)
-	c.Set(8, n)
-	c.Set(9, 0)
+	c.SetDword(8, n)
+	c.SetDword(9, 0)
 	if c[39] = sglTransport; inCapsule {
 		c[39] = sglInCapsule
 	}
@@ -135,7 +135,7 @@
 // Blocks sets the block range of a Read, Write or Write Zeroes: the first block and their number, 1 to 65536.
 func (c *Command) Blocks(first uint64, n uint32) {
 	c.Set64(10, first)
-	c.Set(12, c.Dword(12)&^0xffff|(n-1)&0xffff)
+	c.SetDword(12, c.Dword(12)&^0xffff|(n-1)&0xffff)
 }
 
 // Range returns the block range of a Read, Write or Write Zeroes.
@@ -153,8 +153,8 @@
 	if keepEvent {
 		d10 |= 1 << 15
 	}
-	c.Set(10, d10)
-	c.Set(11, dwords>>16)
+	c.SetDword(10, d10)
+	c.SetDword(11, dwords>>16)
 	c.Set64(12, offset)
 	c.Data(n, false)
 	return c
--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -99,8 +99,8 @@
 	events := make(chan reply, 4)
 	if ctl.OAES&nvme.EventDiscovery != 0 {
 		c := nvme.NewCommand(nvme.OpSetFeatures, 0)
-		c.Set(10, nvme.FeatAsyncEvent)
-		c.Set(11, nvme.EventDiscovery)
+		c.SetDword(10, nvme.FeatAsyncEvent)
+		c.SetDword(11, nvme.EventDiscovery)
 		if _, err := q.call(setup, "Set Features Async Event", c, nil, nil); err != nil && !isStatus(err) {
 			return err
 		}
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -279,8 +279,8 @@
 	s.writeZeroes, s.dsm = s.ctl.ONCS&nvme.ONCSWriteZeroes != 0, s.ctl.ONCS&nvme.ONCSDSM != 0
 
 	c := nvme.NewCommand(nvme.OpSetFeatures, 0)
-	c.Set(10, nvme.FeatNumQueues)
-	c.Set(11, uint32(n.cfg.Queues-1)|uint32(n.cfg.Queues-1)<<16)
+	c.SetDword(10, nvme.FeatNumQueues)
+	c.SetDword(11, uint32(n.cfg.Queues-1)|uint32(n.cfg.Queues-1)<<16)
 	cqe, err := admin.call(ctx, "Set Features Number of Queues", c, nil, nil)
 	if err != nil {
 		return nil, nil, err
@@ -304,8 +304,8 @@
 	}
 	// Vendor-specific features: a standard node answers with an error and works without them.
 	c = nvme.NewCommand(nvme.OpSetFeatures, 0)
-	c.Set(10, nvme.FeatReports)
-	c.Set(11, 1)
+	c.SetDword(10, nvme.FeatReports)
+	c.SetDword(11, 1)
 	_, err = admin.call(ctx, "Set Features reports", c, nil, nil)
 	if s.reports = err == nil; !s.reports && !isStatus(err) {
 		return nil, nil, err
@@ -324,8 +324,8 @@
 	}
 	if events := s.ctl.OAES & (nvme.EventANA | nvme.EventNamespace); events != 0 {
 		c = nvme.NewCommand(nvme.OpSetFeatures, 0)
-		c.Set(10, nvme.FeatAsyncEvent)
-		c.Set(11, events)
+		c.SetDword(10, nvme.FeatAsyncEvent)
+		c.SetDword(11, events)
 		if _, err := admin.call(ctx, "Set Features Async Event", c, nil, nil); err != nil && !isStatus(err) {
 			return nil, nil, err
 		}
@@ -426,7 +426,7 @@
 
 func identify(ctx context.Context, admin *queue, cns uint8, nsid uint32, page []byte) error {
 	c := nvme.NewCommand(nvme.OpIdentify, nsid)
-	c.Set(10, uint32(cns))
+	c.SetDword(10, uint32(cns))
 	c.Data(nvme.IdentifyLen, false)
 	_, err := admin.call(ctx, "Identify", c, nil, page)
 	return err
@@ -490,7 +490,7 @@
 		case a := <-n.aborts:
 			n.Counts.Aborts.Add(1)
 			c := nvme.NewCommand(nvme.OpAbort, 0)
-			c.Set(10, uint32(a[0])|uint32(a[1])<<16)
+			c.SetDword(10, uint32(a[0])|uint32(a[1])<<16)
 			admin.submit(&task{reply: make(chan reply, 1), commands: []command{{sqe: c}}}) // its answer is not used
 			continue
 		case r := <-pendingKeepAlive:
@@ -651,7 +651,7 @@
 			return logic.OK, false // a hint that this node does not support
 		}
 		c := nvme.NewCommand(nvme.OpDSM, a.Namespace)
-		c.Set(11, 1<<2) // deallocate
+		c.SetDword(11, 1<<2) // deallocate
 		list := nvme.DSMRange(uint64(a.Offset/blockSize), uint32(a.Len/blockSize))
 		t.commands = append(t.commands, command{sqe: c, out: list})
 		return 0, true
@@ -663,7 +663,7 @@
 		p := command{sqe: nvme.NewCommand(opcode, a.Namespace)}
 		p.sqe.Blocks(uint64((a.Offset+off)/blockSize), uint32(size/blockSize))
 		if a.Durable {
-			p.sqe.Set(12, p.sqe.Dword(12)|nvme.FUA)
+			p.sqe.SetDword(12, p.sqe.Dword(12)|nvme.FUA)
 		}
 		switch {
 		case a.Kind == block.Read:
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -62,7 +62,7 @@
 	c := NewFabrics(FabricsConnect)
 	binary.LittleEndian.PutUint16(c[42:], qid)
 	binary.LittleEndian.PutUint16(c[44:], uint16(size-1))
-	c.Set(12, keepAliveMS)
+	c.SetDword(12, keepAliveMS)
 	c.Data(ConnectLen, true)
 	return c
 }
@@ -79,14 +79,14 @@
 	if wide {
 		c[40] = 1
 	}
-	c.Set(11, offset)
+	c.SetDword(11, offset)
 	return c
 }
 
 // PropertySet returns a Property Set command.
 func PropertySet(offset uint32, v uint64) Command {
 	c := NewFabrics(FabricsPropertySet)
-	c.Set(11, offset)
+	c.SetDword(11, offset)
 	c.Set64(12, v)
 	return c
 }
