--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -76,7 +76,7 @@
 func (c *Command) Dword(i int) uint32       { return binary.LittleEndian.Uint32(c[4*i:]) }
 func (c *Command) SetDword(i int, v uint32) { binary.LittleEndian.PutUint32(c[4*i:], v) }
 func (c *Command) Quad(i int) uint64        { return binary.LittleEndian.Uint64(c[4*i:]) }
-func (c *Command) Set64(i int, v uint64) {
+func (c *Command) SetQword(i int, v uint64) {
 	binary.LittleEndian.PutUint64(c[4*i:], v)
 }
 
@@ -103,7 +103,7 @@
 
 // Data sets the length of the command's data and whether it is in the capsule or transferred separately.
 func (c *Command) Data(n uint32, inCapsule bool) {
-	c.Set64(6, 0)
+	c.SetQword(6, 0)
 	c.SetDword(8, n)
 	c.SetDword(9, 0)
 	if c[39] = sglTransport; inCapsule {
@@ -134,7 +134,7 @@
 
 // Blocks sets the block range of a Read, Write or Write Zeroes: the first block and their number, 1 to 65536.
 func (c *Command) Blocks(first uint64, n uint32) {
-	c.Set64(10, first)
+	c.SetQword(10, first)
 	c.SetDword(12, c.Dword(12)&^0xffff|(n-1)&0xffff)
 }
 
@@ -143,7 +143,7 @@
 
 // Key returns the repeat key of [FeatReports].
 func (c *Command) Key() uint64       { return c.Quad(2) }
-func (c *Command) SetKey(key uint64) { c.Set64(2, key) }
+func (c *Command) SetKey(key uint64) { c.SetQword(2, key) }
 
 // LogPage returns a Get Log Page command for n bytes (a multiple of 4) at an offset.
 func LogPage(id uint8, nsid uint32, offset uint64, n uint32, keepEvent bool) Command {
@@ -155,7 +155,7 @@
 	}
 	c.SetDword(10, d10)
 	c.SetDword(11, dwords>>16)
-	c.Set64(12, offset)
+	c.SetQword(12, offset)
 	c.Data(n, false)
 	return c
 }
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -87,7 +87,7 @@
 func PropertySet(offset uint32, v uint64) Command {
 	c := NewFabrics(FabricsPropertySet)
 	c.SetDword(11, offset)
-	c.Set64(12, v)
+	c.SetQword(12, v)
 	return c
 }
 
