--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -75,7 +75,7 @@
 func (c *Command) FabricsType() uint8       { return c[4] }
 func (c *Command) Dword(i int) uint32       { return binary.LittleEndian.Uint32(c[4*i:]) }
 func (c *Command) SetDword(i int, v uint32) { binary.LittleEndian.PutUint32(c[4*i:], v) }
-func (c *Command) Quad(i int) uint64        { return binary.LittleEndian.Uint64(c[4*i:]) }
+func (c *Command) Qword(i int) uint64       { return binary.LittleEndian.Uint64(c[4*i:]) }
 func (c *Command) SetQword(i int, v uint64) {
 	binary.LittleEndian.PutUint64(c[4*i:], v)
 }
@@ -116,8 +116,8 @@
 	n = c.Dword(8)
 	switch c[39] {
 	case sglInCapsule:
-		if c.Quad(6) != 0 {
-			return 0, false, fmt.Errorf("nvme: in-capsule data at offset %d", c.Quad(6))
+		if c.Qword(6) != 0 {
+			return 0, false, fmt.Errorf("nvme: in-capsule data at offset %d", c.Qword(6))
 		}
 		return n, true, nil
 	case sglTransport:
@@ -139,10 +139,10 @@
 }
 
 // Range returns the block range of a Read, Write or Write Zeroes.
-func (c *Command) Range() (first uint64, n uint32) { return c.Quad(10), c.Dword(12)&0xffff + 1 }
+func (c *Command) Range() (first uint64, n uint32) { return c.Qword(10), c.Dword(12)&0xffff + 1 }
 
 // Key returns the repeat key of [FeatReports].
-func (c *Command) Key() uint64       { return c.Quad(2) }
+func (c *Command) Key() uint64       { return c.Qword(2) }
 func (c *Command) SetKey(key uint64) { c.SetQword(2, key) }
 
 // LogPage returns a Get Log Page command for n bytes (a multiple of 4) at an offset.
@@ -163,7 +163,7 @@
 // LogRequest returns the fields of a Get Log Page command.
 func (c *Command) LogRequest() (id uint8, offset uint64, n uint32) {
 	dwords := c.Dword(10)>>16 | c.Dword(11)<<16
-	return uint8(c.Dword(10)), c.Quad(12), (dwords + 1) * 4
+	return uint8(c.Dword(10)), c.Qword(12), (dwords + 1) * 4
 }
 
 // Completion is a completion queue entry: 16 bytes (Base, section 3.3.3.2).
