--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -101,8 +101,8 @@
 	return c
 }
 
-// Data sets the length of the command's data and whether it is in the capsule or transferred separately.
-func (c *Command) Data(n uint32, inCapsule bool) {
+// SetData sets the length of the command's data and whether it is in the capsule or transferred separately.
+func (c *Command) SetData(n uint32, inCapsule bool) {
 	c.SetQword(6, 0)
 	c.SetDword(8, n)
 	c.SetDword(9, 0)
@@ -156,7 +156,7 @@
 	c.SetDword(10, d10)
 	c.SetDword(11, dwords>>16)
 	c.SetQword(12, offset)
-	c.Data(n, false)
+	c.SetData(n, false)
 	return c
 }
 
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -427,7 +427,7 @@
 func identify(ctx context.Context, admin *queue, cns uint8, nsid uint32, page []byte) error {
 	c := nvme.NewCommand(nvme.OpIdentify, nsid)
 	c.SetDword(10, uint32(cns))
-	c.Data(nvme.IdentifyLen, false)
+	c.SetData(nvme.IdentifyLen, false)
 	_, err := admin.call(ctx, "Identify", c, nil, page)
 	return err
 }
@@ -601,7 +601,7 @@
 		for j := range t.commands {
 			p := &t.commands[j]
 			if len(p.out) > 0 {
-				p.sqe.Data(uint32(len(p.out)), len(p.out) <= q.inCapsule)
+				p.sqe.SetData(uint32(len(p.out)), len(p.out) <= q.inCapsule)
 			}
 		}
 		if q.submit(t) {
@@ -668,7 +668,7 @@
 		switch {
 		case a.Kind == block.Read:
 			p.in = data[off : off+size]
-			p.sqe.Data(uint32(size), false)
+			p.sqe.SetData(uint32(size), false)
 		case a.Kind == block.Write:
 			p.out = data[off : off+size]
 		case opcode == nvme.OpWrite:
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -42,7 +42,7 @@
 	built := NewCommand(OpRead, 3)
 	built.SetCID(0x0102)
 	built.Blocks(0x1122, 8)
-	built.Data(4096, false)
+	built.SetData(4096, false)
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	w.Capsule(&built, nil)
@@ -66,7 +66,7 @@
 		w.Align = 4 * rapid.IntRange(1, 32).Draw(t, "align")
 		data := rapid.SliceOfN(rapid.Byte(), 1, 5000).Draw(t, "data")
 		cmd := NewCommand(OpWrite, 7)
-		cmd.Data(uint32(len(data)), true)
+		cmd.SetData(uint32(len(data)), true)
 		resp := Complete(5, 6, InternalError|DoNotRetry, 7, 8)
 		w.Capsule(&cmd, data)
 		w.Transfer(C2HData, FlagLast, 1, 2, 3, uint32(len(data)), data)
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -63,7 +63,7 @@
 	binary.LittleEndian.PutUint16(c[42:], qid)
 	binary.LittleEndian.PutUint16(c[44:], uint16(size-1))
 	c.SetDword(12, keepAliveMS)
-	c.Data(ConnectLen, true)
+	c.SetData(ConnectLen, true)
 	return c
 }
 
