--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -132,8 +132,8 @@
 // FUA is the bit of CDW12 that requires data on stable storage before the command completes.
 const FUA = 1 << 30
 
-// Blocks sets the block range of a Read, Write or Write Zeroes: the first block and their number, 1 to 65536.
-func (c *Command) Blocks(first uint64, n uint32) {
+// SetBlockRange sets the block range of a Read, Write or Write Zeroes: the first block and their number, 1 to 65536.
+func (c *Command) SetBlockRange(first uint64, n uint32) {
 	c.SetQword(10, first)
 	c.SetDword(12, c.Dword(12)&^0xffff|(n-1)&0xffff)
 }
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -661,7 +661,7 @@
 	for off := int64(0); off < a.Len; off += maxLen {
 		size := min(maxLen, a.Len-off)
 		p := command{sqe: nvme.NewCommand(opcode, a.Namespace)}
-		p.sqe.Blocks(uint64((a.Offset+off)/blockSize), uint32(size/blockSize))
+		p.sqe.SetBlockRange(uint64((a.Offset+off)/blockSize), uint32(size/blockSize))
 		if a.Durable {
 			p.sqe.SetDword(12, p.sqe.Dword(12)|nvme.FUA)
 		}
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -41,7 +41,7 @@
 	}
 	built := NewCommand(OpRead, 3)
 	built.SetCID(0x0102)
-	built.Blocks(0x1122, 8)
+	built.SetBlockRange(0x1122, 8)
 	built.SetData(4096, false)
 	var out bytes.Buffer
 	w := NewWriter(&out)
