--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -138,8 +138,8 @@
 	c.SetDword(12, c.Dword(12)&^0xffff|(n-1)&0xffff)
 }
 
-// Range returns the block range of a Read, Write or Write Zeroes.
-func (c *Command) Range() (first uint64, n uint32) { return c.Qword(10), c.Dword(12)&0xffff + 1 }
+// BlockRange returns the block range of a Read, Write or Write Zeroes.
+func (c *Command) BlockRange() (first uint64, n uint32) { return c.Qword(10), c.Dword(12)&0xffff + 1 }
 
 // Key returns the repeat key of [FeatReports].
 func (c *Command) Key() uint64       { return c.Qword(2) }
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	c := h.Command()
-	first, n := c.Range()
+	first, n := c.BlockRange()
 	size, in, err := c.DataLen()
 	if c.Opcode() != OpRead || c.CID() != 0x0102 || c.NSID() != 3 || first != 0x1122 || n != 8 || size != 4096 || in || err != nil {
 		t.Errorf("Read: opcode %d cid %#x nsid %d range %#x+%d, %d bytes in capsule %v, %v", c.Opcode(), c.CID(), c.NSID(), first, n, size, in, err)
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -385,7 +385,7 @@
 	now := time.Now()
 	n.Taken.Add(1)
 	bytes := int64(0)
-	first, blocks := cmd.Range()
+	first, blocks := cmd.BlockRange()
 	switch cmd.Opcode() {
 	case nvme.OpRead, nvme.OpWrite, nvme.OpWriteZeroes:
 		bytes = int64(blocks) * int64(n.cfg.BlockSize)
@@ -438,7 +438,7 @@
 // refuse checks a command, and turns it away where a trouble says so. The caller holds mu.
 func (n *Node) refuse(cmd *nvme.Command, data []byte, bytes int64) nvme.Status {
 	size, ok := n.cfg.Namespaces[cmd.NSID()]
-	first, _ := cmd.Range()
+	first, _ := cmd.BlockRange()
 	switch {
 	case !ok:
 		return nvme.InvalidNamespace | nvme.DoNotRetry
@@ -536,7 +536,7 @@
 // execute lets a command take its effect, and answers it.
 func (n *Node) execute(j *job) {
 	cmd := &j.cmd
-	first, blocks := cmd.Range()
+	first, blocks := cmd.BlockRange()
 	off, size := int64(first)*int64(n.cfg.BlockSize), int64(blocks)*int64(n.cfg.BlockSize)
 	now := time.Now()
 	n.mu.Lock()
