--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -176,8 +176,8 @@
 func (c *Completion) Status() Status   { return Status(binary.LittleEndian.Uint16(c[14:]) >> 1) }
 func (c *Completion) SetCID(id uint16) { binary.LittleEndian.PutUint16(c[12:], id) }
 
-// Complete returns a completion queue entry.
-func Complete(cid, sqhd uint16, s Status, dw0, dw1 uint32) Completion {
+// NewCompletion returns a completion queue entry.
+func NewCompletion(cid, sqhd uint16, s Status, dw0, dw1 uint32) Completion {
 	var c Completion
 	le := binary.LittleEndian
 	le.PutUint32(c[0:], dw0)
--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -540,7 +540,7 @@
 	s.received += int(n)
 	q.mu.Unlock()
 	if h.Flags&nvme.FlagSuccess != 0 {
-		return q.handleCompletion(nvme.Complete(cid, 0, nvme.Success, 0, 0))
+		return q.handleCompletion(nvme.NewCompletion(cid, 0, nvme.Success, 0, 0))
 	}
 	return nil
 }
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -67,7 +67,7 @@
 		data := rapid.SliceOfN(rapid.Byte(), 1, 5000).Draw(t, "data")
 		cmd := NewCommand(OpWrite, 7)
 		cmd.SetData(uint32(len(data)), true)
-		resp := Complete(5, 6, InternalError|DoNotRetry, 7, 8)
+		resp := NewCompletion(5, 6, InternalError|DoNotRetry, 7, 8)
 		w.Capsule(&cmd, data)
 		w.Transfer(C2HData, FlagLast, 1, 2, 3, uint32(len(data)), data)
 		w.Transfer(R2T, 0, 9, 8, 7, 6, nil)
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -607,7 +607,7 @@
 		cid ^= 0x4000
 	}
 	for again := true; again; again, twice = twice, false {
-		q := nvme.Complete(cid, 0, s, dw0, dw1)
+		q := nvme.NewCompletion(cid, 0, s, dw0, dw1)
 		j.c.sendWith(cid, data, q)
 	}
 }
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -407,14 +407,14 @@
 func (c *conn) respond(cid uint16, s nvme.Status, dw0, dw1 uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := nvme.Complete(cid, c.sqhd, s, dw0, dw1)
+	q := nvme.NewCompletion(cid, c.sqhd, s, dw0, dw1)
 	c.w.Response(&q)
 	c.w.Flush()
 }
 
 // send answers a command with data.
 func (c *conn) send(cid uint16, data []byte) {
-	c.sendWith(cid, data, nvme.Complete(cid, 0, nvme.Success, 0, 0))
+	c.sendWith(cid, data, nvme.NewCompletion(cid, 0, nvme.Success, 0, 0))
 }
 
 func (c *conn) sendWith(cid uint16, data []byte, q nvme.Completion) {
