--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -512,8 +512,8 @@
 // handleData handles a C2HData PDU (TCP Transport, section 3.6.2.7).
 func (q *queue) handleData(h *nvme.Header) error {
 	cid, _, off, n := h.Transfer()
-	if int(n) != h.Data {
-		return &nvme.FatalError{Status: nvme.FESHeaderField, Offset: 16, Text: fmt.Sprintf("C2HData carries %d bytes, but its header says %d", h.Data, n)}
+	if int(n) != h.DataLen {
+		return &nvme.FatalError{Status: nvme.FESHeaderField, Offset: 16, Text: fmt.Sprintf("C2HData carries %d bytes, but its header says %d", h.DataLen, n)}
 	}
 	q.mu.Lock()
 	s := q.findSlot(cid)
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -76,8 +76,8 @@
 		var h Header
 		got := make([]byte, len(data))
 		for _, want := range []Type{CapsuleCmd, C2HData} {
-			if err := r.Next(&h); err != nil || h.Type != want || h.Data != len(data) {
-				t.Fatalf("%v with %d bytes, %v; want %v with %d", h.Type, h.Data, err, want, len(data))
+			if err := r.Next(&h); err != nil || h.Type != want || h.DataLen != len(data) {
+				t.Fatalf("%v with %d bytes, %v; want %v with %d", h.Type, h.DataLen, err, want, len(data))
 			}
 			if err := r.Data(got); err != nil || !bytes.Equal(got, data) {
 				t.Fatalf("data differs, %v", err)
@@ -140,7 +140,7 @@
 	if err := r.Next(&h); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Data(make([]byte, h.Data)); err != ErrDataDigest {
+	if err := r.Data(make([]byte, h.DataLen)); err != ErrDataDigest {
 		t.Errorf("damaged data: %v", err)
 	}
 	if err := r.Next(&h); err != io.EOF {
@@ -152,7 +152,7 @@
 		r.HeaderDigest, r.DataDigest = true, true
 		err := r.Next(&h)
 		if err == nil {
-			err = r.Data(make([]byte, h.Data))
+			err = r.Data(make([]byte, h.DataLen))
 		}
 		if err != io.ErrUnexpectedEOF {
 			t.Fatalf("cut at byte %d: %v", cut, err)
@@ -220,11 +220,11 @@
 			if err := r.Next(&h); err != nil {
 				return
 			}
-			if h.Data > 1<<16 {
-				t.Fatalf("%d bytes of data exceed the maximum", h.Data)
+			if h.DataLen > 1<<16 {
+				t.Fatalf("%d bytes of data exceed the maximum", h.DataLen)
 			}
 			h.Params()
-			if err := r.Data(make([]byte, h.Data)); err != nil && err != ErrDataDigest {
+			if err := r.Data(make([]byte, h.DataLen)); err != nil && err != ErrDataDigest {
 				return
 			}
 		}
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -104,11 +104,11 @@
 
 // Header is the validated header of a PDU. The data follows on the connection.
 type Header struct {
-	Type  Type
-	Flags uint8
-	Data  int // length of the data that follows, in bytes
-	Wire  int // length of the whole PDU, in bytes
-	raw   [icLen]byte
+	Type    Type
+	Flags   uint8
+	DataLen int // length of the data that follows, in bytes
+	Wire    int // length of the whole PDU, in bytes
+	raw     [icLen]byte
 }
 
 // Raw returns the header with the common header, as received; valid until the next PDU is read.
@@ -218,7 +218,7 @@
 		}
 		headerEnd += digestLen
 	}
-	h.Data, h.Wire, r.hasDataDigest = 0, int(plen), false
+	h.DataLen, h.Wire, r.hasDataDigest = 0, int(plen), false
 	if plen == uint32(headerEnd) {
 		if h.Type == C2HData || h.Type == H2CData {
 			return fatalf(FESHeaderField, 4, "%v carries no data", h.Type)
@@ -232,8 +232,8 @@
 		if plen > maxTermLen {
 			return fatalf(FESHeaderField, 4, "%v has PLEN %d", h.Type, plen)
 		}
-		h.Data = int(plen) - headerEnd
-		r.remaining = h.Data
+		h.DataLen = int(plen) - headerEnd
+		r.remaining = h.DataLen
 		return nil
 	}
 	if pdo < headerEnd || pdo%4 != 0 || uint32(pdo) >= plen {
@@ -252,8 +252,8 @@
 	if _, err := r.br.Discard(pdo - headerEnd); err != nil {
 		return unexpectedEOF(err)
 	}
-	h.Data = int(n)
-	r.remaining = h.Data
+	h.DataLen = int(n)
+	r.remaining = h.DataLen
 	return nil
 }
 
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -198,12 +198,12 @@
 	case nvme.CapsuleCmd:
 		cmd := *h.Command()
 		n, in, err := cmd.DataLen()
-		if err != nil || n > mostData || in && int(n) != h.Data {
-			return &nvme.FatalError{Status: nvme.FESHeaderField, Text: fmt.Sprintf("capsule of %d bytes says %d (%v)", h.Data, n, err)}
+		if err != nil || n > mostData || in && int(n) != h.DataLen {
+			return &nvme.FatalError{Status: nvme.FESHeaderField, Text: fmt.Sprintf("capsule of %d bytes says %d (%v)", h.DataLen, n, err)}
 		}
 		var data []byte
-		if h.Data > 0 {
-			data = make([]byte, h.Data)
+		if h.DataLen > 0 {
+			data = make([]byte, h.DataLen)
 			if err := c.r.Data(data); err == nvme.ErrDataDigest {
 				c.respond(cmd.CID(), nvme.TransientTransport, 0, 0)
 				return nil
@@ -246,7 +246,7 @@
 	c.mu.Lock()
 	x := c.waits[tag]
 	c.mu.Unlock()
-	if x == nil || x.cmd.CID() != cid || int(off) != x.got || int(n) != h.Data || x.got+int(n) > len(x.data) {
+	if x == nil || x.cmd.CID() != cid || int(off) != x.got || int(n) != h.DataLen || x.got+int(n) > len(x.data) {
 		return &nvme.FatalError{Status: nvme.FESOutOfRange, Text: "H2CData that was not asked for"}
 	}
 	err := c.r.Data(x.data[off : off+n])
