--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -450,10 +450,10 @@
 func (q *queue) handlePDU(h *nvme.Header) error {
 	switch h.Type {
 	case nvme.CapsuleResp:
-		q.countReceived(h.Completion().CID(), h.Wire)
+		q.countReceived(h.Completion().CID(), h.PDULen)
 	case nvme.C2HData, nvme.R2T:
 		cid, _, _, _ := h.Transfer()
-		q.countReceived(cid, h.Wire)
+		q.countReceived(cid, h.PDULen)
 	}
 	switch h.Type {
 	case nvme.CapsuleResp:
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -107,7 +107,7 @@
 	Type    Type
 	Flags   uint8
 	DataLen int // length of the data that follows, in bytes
-	Wire    int // length of the whole PDU, in bytes
+	PDULen  int // length of the whole PDU, in bytes
 	raw     [icLen]byte
 }
 
@@ -218,7 +218,7 @@
 		}
 		headerEnd += digestLen
 	}
-	h.DataLen, h.Wire, r.hasDataDigest = 0, int(plen), false
+	h.DataLen, h.PDULen, r.hasDataDigest = 0, int(plen), false
 	if plen == uint32(headerEnd) {
 		if h.Type == C2HData || h.Type == H2CData {
 			return fatalf(FESHeaderField, 4, "%v carries no data", h.Type)
