--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -319,7 +319,7 @@
 		n.tellings = append(n.tellings, Telling{host, n.cfg.NQN, time.Now(), !n.draining})
 		g := nvme.ANAGroup{ID: 1, State: nvme.ANAOptimized}
 		if n.draining {
-			g.State = nvme.ANAIsInaccess
+			g.State = nvme.ANAStateInaccessible
 		}
 		for id := range n.cfg.Namespaces {
 			g.Namespaces = append(g.Namespaces, id)
