--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -243,11 +243,11 @@
 type ANAState uint8
 
 const (
-	ANAOptimized         ANAState = 0x1
-	ANANonOptimized      ANAState = 0x2
-	ANAStateInaccessible ANAState = 0x3
-	ANAIsLost            ANAState = 0x4
-	ANAIsChange          ANAState = 0xf
+	ANAOptimized           ANAState = 0x1
+	ANANonOptimized        ANAState = 0x2
+	ANAStateInaccessible   ANAState = 0x3
+	ANAStatePersistentLoss ANAState = 0x4
+	ANAIsChange            ANAState = 0xf
 )
 
 // ANAGroup is a group descriptor of the ANA log page.
