--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -247,7 +247,7 @@
 	ANANonOptimized        ANAState = 0x2
 	ANAStateInaccessible   ANAState = 0x3
 	ANAStatePersistentLoss ANAState = 0x4
-	ANAIsChange            ANAState = 0xf
+	ANAStateChange         ANAState = 0xf
 )
 
 // ANAGroup is a group descriptor of the ANA log page.
