--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -185,7 +185,7 @@
 	if _, err := ParseDiscovery(page[:len(page)-1]); err == nil {
 		t.Error("accepts a truncated discovery page")
 	}
-	l := ANALog{Changes: 4, Groups: []ANAGroup{{1, ANAOptimized, []uint32{1, 2}}, {2, ANAStateInaccessible, nil}}}
+	l := ANALog{Changes: 4, Groups: []ANAGroup{{1, ANAStateOptimized, []uint32{1, 2}}, {2, ANAStateInaccessible, nil}}}
 	b := l.Marshal()
 	if got, err := ParseANA(b); err != nil || len(got.Groups) != 2 || got.Groups[0].Namespaces[1] != 2 || got.Groups[1].State != ANAStateInaccessible {
 		t.Errorf("%+v, %v", got, err)
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -243,7 +243,7 @@
 type ANAState uint8
 
 const (
-	ANAOptimized           ANAState = 0x1
+	ANAStateOptimized      ANAState = 0x1
 	ANANonOptimized        ANAState = 0x2
 	ANAStateInaccessible   ANAState = 0x3
 	ANAStatePersistentLoss ANAState = 0x4
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -317,7 +317,7 @@
 	switch {
 	case id == nvme.LogANA:
 		n.tellings = append(n.tellings, Telling{host, n.cfg.NQN, time.Now(), !n.draining})
-		g := nvme.ANAGroup{ID: 1, State: nvme.ANAOptimized}
+		g := nvme.ANAGroup{ID: 1, State: nvme.ANAStateOptimized}
 		if n.draining {
 			g.State = nvme.ANAStateInaccessible
 		}
