--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -445,7 +445,7 @@
 	}
 	draining := false
 	for _, g := range l.Groups {
-		if g.State == nvme.ANAStateOptimized || g.State == nvme.ANANonOptimized {
+		if g.State == nvme.ANAStateOptimized || g.State == nvme.ANAStateNonOptimized {
 			continue
 		}
 		for _, id := range g.Namespaces {
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -244,7 +244,7 @@
 
 const (
 	ANAStateOptimized      ANAState = 0x1
-	ANANonOptimized        ANAState = 0x2
+	ANAStateNonOptimized   ANAState = 0x2
 	ANAStateInaccessible   ANAState = 0x3
 	ANAStatePersistentLoss ANAState = 0x4
 	ANAStateChange         ANAState = 0xf
