--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -26,20 +26,20 @@
 
 // Config holds the settings of a [Node].
 type Config struct {
-	ID         logic.NodeID
-	NQN        string
-	HostNQN    string
-	HostID     [16]byte
-	Namespaces []uint32 // those that hold extents
-	Depth      int      // maximum number of outstanding commands over all I/O queues
-	Queues     int
-	Digests    bool
-	Connect    time.Duration // time limit for connecting and setting up the controller
-	KeepAlive  time.Duration // 0: none is requested
-	Seed       uint64
-	Now        func() logic.Micros
-	Log        *zap.Logger
-	Address    func() string // current address of the node; empty if it is unknown
+	ID             logic.NodeID
+	NQN            string
+	HostNQN        string
+	HostID         [16]byte
+	Namespaces     []uint32 // those that hold extents
+	Depth          int      // maximum number of outstanding commands over all I/O queues
+	Queues         int
+	Digests        bool
+	ConnectTimeout time.Duration // time limit for connecting and setting up the controller
+	KeepAlive      time.Duration // 0: none is requested
+	Seed           uint64
+	Now            func() logic.Micros
+	Log            *zap.Logger
+	Address        func() string // current address of the node; empty if it is unknown
 }
 
 // Watcher is notified of changes in the state of a node. Its methods are called from the node's goroutines and must not
@@ -160,7 +160,7 @@
 	g, ctx := errgroup.WithContext(parent)
 	var queues []*queue
 	var conns []net.Conn
-	setup, cancel := context.WithTimeoutCause(ctx, n.cfg.Connect, fmt.Errorf("not set up within %v", n.cfg.Connect))
+	setup, cancel := context.WithTimeoutCause(ctx, n.cfg.ConnectTimeout, fmt.Errorf("not set up within %v", n.cfg.ConnectTimeout))
 	defer cancel()
 	// Whatever ends the session closes its connections, which ends their goroutines.
 	closed := make(chan struct{})
@@ -532,7 +532,7 @@
 
 // handleNotice handles an asynchronous event of type notice (Base, figure on asynchronous event information, notices).
 func (n *Node) handleNotice(ctx context.Context, s *session, admin *queue, info uint32) error {
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.Connect)
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.ConnectTimeout)
 	defer cancel()
 	switch info {
 	case 0x00: // namespace attributes
