--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -129,7 +129,7 @@
 	if cfg.Directory.Address != "" {
 		g.direct = &initiator.Discovery{
 			Address: cfg.Directory.Address, HostNQN: hostNQN, HostID: hostID, ConnectTimeout: us(cfg.Times.Connect),
-			Every: us(cfg.Directory.Every), Seed: le.Uint64(seed[:]), Now: e.Now, Log: log.Named("directory"),
+			PollInterval: us(cfg.Directory.Every), Seed: le.Uint64(seed[:]), Now: e.Now, Log: log.Named("directory"),
 			Listed: g.listed,
 		}
 	}
--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -22,7 +22,7 @@
 	HostNQN        string
 	HostID         [16]byte
 	ConnectTimeout time.Duration
-	Every          time.Duration
+	PollInterval   time.Duration
 	Seed           uint64
 	Now            func() logic.Micros
 	Log            *zap.Logger
@@ -117,7 +117,7 @@
 			return err
 		}
 		d.Listed(session, l)
-		t := time.NewTimer(d.Every)
+		t := time.NewTimer(d.PollInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
