--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -130,7 +130,7 @@
 		g.direct = &initiator.Discovery{
 			Address: cfg.Directory.Address, HostNQN: hostNQN, HostID: hostID, ConnectTimeout: us(cfg.Times.Connect),
 			PollInterval: us(cfg.Directory.Every), Seed: le.Uint64(seed[:]), Now: e.Now, Log: log.Named("directory"),
-			Listed: g.listed,
+			OnPage: g.listed,
 		}
 	}
 	e.SetBack(g)
--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -26,8 +26,8 @@
 	Seed           uint64
 	Now            func() logic.Micros
 	Log            *zap.Logger
-	// Listed is called with each page read and the number of the connection that it was read over, counted from one.
-	Listed func(session int, d nvme.Discovery)
+	// OnPage is called with each page read and the number of the connection that it was read over, counted from one.
+	OnPage func(session int, d nvme.Discovery)
 }
 
 // maxEntries is the maximum number of entries of a discovery log page.
@@ -116,7 +116,7 @@
 		if err != nil {
 			return err
 		}
-		d.Listed(session, l)
+		d.OnPage(session, l)
 		t := time.NewTimer(d.PollInterval)
 		select {
 		case <-ctx.Done():
