--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -245,7 +245,7 @@
 			continue
 		}
 		select {
-		case <-g.nodes[id].Tried():
+		case <-g.nodes[id].FirstTryDone():
 		case <-ctx.Done():
 			return
 		}
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Tried returns a channel that is closed when the first try to connect has succeeded or failed.
-func (n *Node) Tried() <-chan struct{} { return n.firstTry }
+// FirstTryDone returns a channel that is closed when the first try to connect has succeeded or failed.
+func (n *Node) FirstTryDone() <-chan struct{} { return n.firstTry }
 
 func (n *Node) markTried() { n.firstTryOnce.Do(func() { close(n.firstTry) }) }
 
