--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -297,7 +297,7 @@
 	if len(list) > 0 {
 		g.Engine.Nodes(list)
 		for _, n := range list {
-			g.nodes[n.ID].Kick()
+			g.nodes[n.ID].RefreshAddress()
 		}
 	}
 }
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -102,8 +102,8 @@
 // Up reports whether the node is connected.
 func (n *Node) Up() bool { return n.session.Load() != nil }
 
-// Kick makes Run look up the address again at once while the address is unknown.
-func (n *Node) Kick() {
+// RefreshAddress makes Run look up the address again at once while the address is unknown.
+func (n *Node) RefreshAddress() {
 	select {
 	case n.addressChanged <- struct{}{}:
 	default:
