--- a/internal/nvme/initiator/initiator_test.go
+++ b/internal/nvme/initiator/initiator_test.go
@@ -71,7 +71,7 @@
 	}
 	s := &sink{t: t, ended: map[*block.Attempt]block.Result{}}
 	start := time.Now()
-	c := initiator.Config{ID: 1, NQN: "nqn.test", HostNQN: "nqn.host", Namespaces: []uint32{1}, Depth: 64, Queues: 1,
+	c := initiator.Config{ID: 1, NQN: "nqn.test", HostNQN: "nqn.host", Namespaces: []uint32{1}, MaxOutstanding: 64, Queues: 1,
 		ConnectTimeout: time.Second, KeepAlive: time.Second, Now: func() logic.Micros { return logic.Micros(time.Since(start).Microseconds()) + 1 },
 		Log: zap.NewNop(), Address: peer.Address}
 	if change != nil {
@@ -294,7 +294,7 @@
 
 // Attempts that exceed the depth of the node's queues are refused at once, and none is lost.
 func TestDepth(t *testing.T) {
-	peer, n, s := connectNode(t, standin.NodeConfig{Base: time.Millisecond}, func(c *initiator.Config) { c.Depth = 8; c.Queues = 2 })
+	peer, n, s := connectNode(t, standin.NodeConfig{Base: time.Millisecond}, func(c *initiator.Config) { c.MaxOutstanding = 8; c.Queues = 2 })
 	peer.Set(func(t *standin.Trouble) { t.Hang = true })
 	for range 11 {
 		n.Start(newAttempt(block.Read, 0, 4096, 0))
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -31,7 +31,7 @@
 	HostNQN        string
 	HostID         [16]byte
 	Namespaces     []uint32 // those that hold extents
-	Depth          int      // maximum number of outstanding commands over all I/O queues
+	MaxOutstanding int      // maximum number of outstanding commands over all I/O queues
 	Queues         int
 	Digests        bool
 	ConnectTimeout time.Duration // time limit for connecting and setting up the controller
@@ -287,7 +287,7 @@
 	}
 	queues := min(n.cfg.Queues, int(cqe.DW0()&0xffff)+1)
 	// A queue holds one command fewer than it has entries; CAP.MQES is the maximum number of entries, zero-based.
-	s.depth = max(min((n.cfg.Depth+queues-1)/queues, int(capabilities&0xffff)), 1)
+	s.depth = max(min((n.cfg.MaxOutstanding+queues-1)/queues, int(capabilities&0xffff)), 1)
 	if s.ctl.MaxCmd > 0 {
 		s.depth = min(s.depth, int(s.ctl.MaxCmd))
 	}
