--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -296,7 +296,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		q.inCapsule = max(s.ctl.InCapsule-64, 0)
+		q.inCapsule = max(s.ctl.CapsuleSize-64, 0)
 		if _, err := n.connect(ctx, q, s.depth+1, cntlid); err != nil {
 			return nil, nil, err
 		}
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -169,7 +169,7 @@
 		t.Error("accepts an unterminated name")
 	}
 	ctl := Controller{Serial: "s", Model: "m", Firmware: "f", MDTS: 5, CNTLID: 9, OAES: EventANA, ANA: true, KAS: 10,
-		MaxCmd: 64, Namespaces: 4, ONCS: 0xc, WriteCache: true, SubNQN: "nqn.c", InCapsule: 64 + 8192, ANAGroups: 2}
+		MaxCmd: 64, Namespaces: 4, ONCS: 0xc, WriteCache: true, SubNQN: "nqn.c", CapsuleSize: 64 + 8192, ANAGroups: 2}
 	if got, err := ParseController(ctl.Marshal()); err != nil || got != ctl {
 		t.Errorf("%+v, %v; want %+v", got, err, ctl)
 	}
--- a/internal/nvme/structures.go
+++ b/internal/nvme/structures.go
@@ -106,7 +106,7 @@
 	WriteCache              bool
 	SGLs                    uint32
 	SubNQN                  string
-	InCapsule               int // maximum capsule size of a command in bytes: 64 and the in-capsule data
+	CapsuleSize             int // maximum capsule size of a command in bytes: 64 and the in-capsule data
 	ANAGroups               uint32
 	Discovery               bool
 }
@@ -156,7 +156,7 @@
 	le.PutUint32(b[536:], c.SGLs)
 	copy(b[768:1023], c.SubNQN)
 	if !c.Discovery {
-		le.PutUint32(b[1792:], uint32(c.InCapsule/16))
+		le.PutUint32(b[1792:], uint32(c.CapsuleSize/16))
 		le.PutUint32(b[1796:], 1)
 	}
 	return b
@@ -180,9 +180,9 @@
 	if capsule > 1<<20 {
 		return c, fmt.Errorf("nvme: Identify Controller states IOCCSZ %d", capsule)
 	}
-	c.InCapsule = int(capsule) * 16
+	c.CapsuleSize = int(capsule) * 16
 	if icdoff := le.Uint16(b[1800:]); icdoff != 0 {
-		c.InCapsule = min(c.InCapsule, 64) // data at an offset in the capsule is not used over TCP
+		c.CapsuleSize = min(c.CapsuleSize, 64) // data at an offset in the capsule is not used over TCP
 	}
 	if i := bytes.IndexByte(b[768:1024], 0); i >= 0 {
 		c.SubNQN = string(b[768 : 768+i])
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -289,7 +289,7 @@
 	ctl := nvme.Controller{Serial: "standin", Model: "appleplank stand-in node", Firmware: "1", MDTS: n.cfg.MDTS, CNTLID: cntlid,
 		Version: 0x20000, OAES: nvme.EventANA | nvme.EventNamespace, ANA: true, ANAGroups: 1, KAS: 10, Namespaces: 1024,
 		ONCS: nvme.ONCSDSM | nvme.ONCSWriteZeroes, WriteCache: n.cfg.WriteCache, SGLs: 1<<20 | 1, SubNQN: n.cfg.NQN,
-		InCapsule: 64 + n.cfg.InCapsule&^15, MaxCmd: 1024}
+		CapsuleSize: 64 + n.cfg.InCapsule&^15, MaxCmd: 1024}
 	if n.cfg.NoZeroes {
 		ctl.ONCS = 0
 	}
