--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -728,7 +728,7 @@
 	}
 	r := block.Result{Outcome: t.outcome, Load: logic.NoLoad, Out: t.bytesSent, In: t.bytesReceived}
 	if t.hasReport {
-		r.Load.Holds, r.Load.Waits = float64(t.report.Requests), float64(t.report.Waits)
+		r.Load.Holds, r.Load.Waits = float64(t.report.Requests), float64(t.report.Waiting)
 		if t.report.Busy <= 100 {
 			r.Load.Busy = float64(t.report.Busy) / 100
 		}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -630,7 +630,7 @@
 	h[1] = m.total - h[0]
 	if now := time.Now(); now.Sub(n.reportAt) >= n.trouble.Late {
 		n.reportAt = now
-		n.report = nvme.Report{Busy: uint8(100 * n.working / n.cfg.Cores), Requests: uint16(len(n.queue) + n.working), Waits: uint16(len(n.queue))}
+		n.report = nvme.Report{Busy: uint8(100 * n.working / n.cfg.Cores), Requests: uint16(len(n.queue) + n.working), Waiting: uint16(len(n.queue))}
 	}
 	r := n.report
 	r.Elsewhere = uint32(elsewhere >> 10)
