--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -255,16 +255,16 @@
 // Report is the load and the usage meter of a node, carried in the first two dwords of a completion while [FeatReports]
 // is on.
 type Report struct {
-	Busy      uint8  // percentage of its cores in use, 0 to 100; 255: unknown
-	Requests  uint16 // requests at the node, at most 4095
-	Waiting   uint16 // of these, the waiting ones, at most 4095
-	Elsewhere uint32 // KiB served for the namespace through other hosts since the last answer to this one, at most 2^24-1
+	Busy         uint8  // percentage of its cores in use, 0 to 100; 255: unknown
+	Requests     uint16 // requests at the node, at most 4095
+	Waiting      uint16 // of these, the waiting ones, at most 4095
+	ElsewhereKiB uint32 // KiB served for the namespace through other hosts since the last answer to this one, at most 2^24-1
 }
 
 // Dwords packs a report into the first two dwords of a completion.
 func (r Report) Dwords() (dw0, dw1 uint32) {
 	dw0 = uint32(r.Busy) | uint32(min(r.Requests, 4095))<<8 | uint32(min(r.Waiting, 4095))<<20
-	return dw0, min(r.Elsewhere, 1<<24-1) | 1<<31
+	return dw0, min(r.ElsewhereKiB, 1<<24-1) | 1<<31
 }
 
 // ParseReport unpacks a report; ok is false if the dwords hold none.
--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -494,7 +494,7 @@
 		t.reply <- reply{c, s.received, nil} // does not block: the channel has a buffer of one
 	} else if rep, ok := nvme.ParseReport(c.DW0(), c.DW1()); ok && o == logic.OK {
 		if t.hasReport {
-			rep.Elsewhere += t.report.Elsewhere
+			rep.ElsewhereKiB += t.report.ElsewhereKiB
 		}
 		t.report, t.hasReport = rep, true
 	}
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -193,7 +193,7 @@
 	for i := range b {
 		ParseANA(b[:i]) // must not panic; the last group has no list, so a truncated page may still parse
 	}
-	rep := Report{Busy: 90, Requests: 4000, Waiting: 17, Elsewhere: 123456}
+	rep := Report{Busy: 90, Requests: 4000, Waiting: 17, ElsewhereKiB: 123456}
 	if got, ok := ParseReport(rep.Dwords()); !ok || got != rep {
 		t.Errorf("%+v, %v", got, ok)
 	}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -633,7 +633,7 @@
 		n.report = nvme.Report{Busy: uint8(100 * n.working / n.cfg.Cores), Requests: uint16(len(n.queue) + n.working), Waiting: uint16(len(n.queue))}
 	}
 	r := n.report
-	r.Elsewhere = uint32(elsewhere >> 10)
+	r.ElsewhereKiB = uint32(elsewhere >> 10)
 	return r
 }
 
