--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -160,8 +160,8 @@
 	return c
 }
 
-// LogRequest returns the fields of a Get Log Page command.
-func (c *Command) LogRequest() (id uint8, offset uint64, n uint32) {
+// LogPageRequest returns the fields of a Get Log Page command.
+func (c *Command) LogPageRequest() (id uint8, offset uint64, n uint32) {
 	dwords := c.Dword(10)>>16 | c.Dword(11)<<16
 	return uint8(c.Dword(10)), c.Qword(12), (dwords + 1) * 4
 }
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -336,7 +336,7 @@
 			return
 		}
 	case nvme.OpGetLogPage:
-		id, off, n := cmd.LogRequest()
+		id, off, n := cmd.LogPageRequest()
 		page, ok := c.t.log(id, c.host)
 		if !ok || n > mostData {
 			c.respond(cid, nvme.InvalidLogPage|nvme.DoNotRetry, 0, 0)
