--- a/internal/nvme/initiator/initiator_test.go
+++ b/internal/nvme/initiator/initiator_test.go
@@ -219,14 +219,14 @@
 			t.Fatalf("read %d returned the data of another command", i)
 		}
 	}
-	if n.Counts.Strays.Load() == 0 {
+	if n.Counts.UnexpectedAnswers.Load() == 0 {
 		t.Error("no stray answer was counted")
 	}
 	peer.Set(func(t *standin.Trouble) { *t = standin.Trouble{Wrong: 1} })
 	w := newAttempt(block.Read, 0, 4096, 0)
 	n.Start(w)
 	waitFor(t, "the stray", func() bool {
-		return n.Counts.Strays.Load() > 80 || n.Counts.Resets.Load() > 0 || s.count() > 82 || hasManyStrays(n)
+		return n.Counts.UnexpectedAnswers.Load() > 80 || n.Counts.Resets.Load() > 0 || s.count() > 82 || hasManyStrays(n)
 	})
 	if _, ended := s.result(w); ended && n.Counts.Resets.Load() == 0 {
 		t.Error("an answer under another id ended the command")
@@ -234,7 +234,7 @@
 	n.Drop(w)
 }
 
-func hasManyStrays(n *initiator.Node) bool { return n.Counts.Strays.Load() > 40 }
+func hasManyStrays(n *initiator.Node) bool { return n.Counts.UnexpectedAnswers.Load() > 40 }
 
 // A write that is dropped before its data was requested never gets the data: it could overwrite later writes.
 func TestDroppedWriteGetsNoData(t *testing.T) {
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -53,8 +53,8 @@
 
 // Counts holds totals since the start.
 type Counts struct {
-	Dials, Connections, Resets, Strays, Aborts atomic.Uint64
-	BytesOut, BytesIn                          atomic.Uint64 // over all sockets
+	Dials, Connections, Resets, UnexpectedAnswers, Aborts atomic.Uint64
+	BytesOut, BytesIn                                     atomic.Uint64 // over all sockets
 }
 
 // Node maintains the connections to one storage node. It implements [block.Back] for attempts at that node.
@@ -552,7 +552,7 @@
 
 // noteUnexpected counts an answer that matches no command. It returns an error if the connection must be given up.
 func (n *Node) noteUnexpected() error {
-	n.Counts.Strays.Add(1)
+	n.Counts.UnexpectedAnswers.Add(1)
 	n.linkMu.Lock()
 	giveUp := n.link.Stray(n.cfg.Now())
 	n.linkMu.Unlock()
