--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -79,7 +79,7 @@
 				d := &direct{}
 				start := time.Now()
 				d.Node = initiator.NewNode(initiator.Config{ID: 1, NQN: f.Nodes[0].NQN(), HostNQN: "nqn.direct", Namespaces: []uint32{1},
-					MaxOutstanding: 64, Queues: 2, ConnectTimeout: time.Second, KeepAlive: 10 * time.Second, Log: zap.NewNop(), Address: f.Nodes[0].Address,
+					MaxOutstanding: 64, Queues: 2, Timeout: time.Second, KeepAlive: 10 * time.Second, Log: zap.NewNop(), Address: f.Nodes[0].Address,
 					Now: func() logic.Micros { return logic.Micros(time.Since(start).Microseconds()) + 1 }}, d, d)
 				ctx, cancel := context.WithCancel(context.Background())
 				ended := make(chan struct{})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,7 +120,7 @@
 		g.nodes[n.ID] = initiator.NewNode(initiator.Config{
 			ID: n.ID, NQN: n.NQN, HostNQN: hostNQN, HostID: hostID, Namespaces: namespaces,
 			MaxOutstanding: cfg.Bounds.Depth, Queues: cfg.Bounds.IOQueues, Digests: cfg.Bounds.Digests,
-			ConnectTimeout: us(cfg.Times.Connect), KeepAlive: us(cfg.Times.KeepAlive), Seed: le.Uint64(seed[16:]) + uint64(i),
+			Timeout: us(cfg.Times.Connect), KeepAlive: us(cfg.Times.KeepAlive), Seed: le.Uint64(seed[16:]) + uint64(i),
 			Now: e.Now, Log: log.Named("node").With(zap.Uint32("node", uint32(n.ID))),
 			Address: func() string { return g.address(n.ID) },
 		}, e, g)
--- a/internal/nvme/initiator/initiator_test.go
+++ b/internal/nvme/initiator/initiator_test.go
@@ -72,7 +72,7 @@
 	s := &sink{t: t, ended: map[*block.Attempt]block.Result{}}
 	start := time.Now()
 	c := initiator.Config{ID: 1, NQN: "nqn.test", HostNQN: "nqn.host", Namespaces: []uint32{1}, MaxOutstanding: 64, Queues: 1,
-		ConnectTimeout: time.Second, KeepAlive: time.Second, Now: func() logic.Micros { return logic.Micros(time.Since(start).Microseconds()) + 1 },
+		Timeout: time.Second, KeepAlive: time.Second, Now: func() logic.Micros { return logic.Micros(time.Since(start).Microseconds()) + 1 },
 		Log: zap.NewNop(), Address: peer.Address}
 	if change != nil {
 		change(&c)
@@ -260,7 +260,7 @@
 // attempts fail at once as not connected, and the node is connected again when it recovers.
 func TestHardNodes(t *testing.T) {
 	peer, n, s := connectNode(t, standin.NodeConfig{}, func(c *initiator.Config) {
-		c.ConnectTimeout = 150 * time.Millisecond
+		c.Timeout = 150 * time.Millisecond
 		c.KeepAlive = 300 * time.Millisecond
 	})
 	expectOutcome := func(what string, want logic.Outcome) {
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -34,7 +34,7 @@
 	MaxOutstanding int      // maximum number of outstanding commands over all I/O queues
 	Queues         int
 	Digests        bool
-	ConnectTimeout time.Duration // time limit for connecting and setting up the controller
+	Timeout        time.Duration // time limit for connecting and setting up the controller
 	KeepAlive      time.Duration // 0: none is requested
 	Seed           uint64
 	Now            func() logic.Micros
@@ -160,7 +160,7 @@
 	g, ctx := errgroup.WithContext(parent)
 	var queues []*queue
 	var conns []net.Conn
-	setup, cancel := context.WithTimeoutCause(ctx, n.cfg.ConnectTimeout, fmt.Errorf("not set up within %v", n.cfg.ConnectTimeout))
+	setup, cancel := context.WithTimeoutCause(ctx, n.cfg.Timeout, fmt.Errorf("not set up within %v", n.cfg.Timeout))
 	defer cancel()
 	// Whatever ends the session closes its connections, which ends their goroutines.
 	closed := make(chan struct{})
@@ -532,7 +532,7 @@
 
 // handleNotice handles an asynchronous event of type notice (Base, figure on asynchronous event information, notices).
 func (n *Node) handleNotice(ctx context.Context, s *session, admin *queue, info uint32) error {
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.ConnectTimeout)
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.Timeout)
 	defer cancel()
 	switch info {
 	case 0x00: // namespace attributes
