--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -128,7 +128,7 @@
 	}
 	if cfg.Directory.Address != "" {
 		g.direct = &initiator.Discovery{
-			Address: cfg.Directory.Address, HostNQN: hostNQN, HostID: hostID, ConnectTimeout: us(cfg.Times.Connect),
+			Address: cfg.Directory.Address, HostNQN: hostNQN, HostID: hostID, Timeout: us(cfg.Times.Connect),
 			PollInterval: us(cfg.Directory.Every), Seed: le.Uint64(seed[:]), Now: e.Now, Log: log.Named("directory"),
 			OnPage: g.listed,
 		}
--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -18,14 +18,14 @@
 // Discovery follows a discovery controller: it reads the log page after connecting, when notified of a change, and at
 // least once per interval Every.
 type Discovery struct {
-	Address        string
-	HostNQN        string
-	HostID         [16]byte
-	ConnectTimeout time.Duration
-	PollInterval   time.Duration
-	Seed           uint64
-	Now            func() logic.Micros
-	Log            *zap.Logger
+	Address      string
+	HostNQN      string
+	HostID       [16]byte
+	Timeout      time.Duration
+	PollInterval time.Duration
+	Seed         uint64
+	Now          func() logic.Micros
+	Log          *zap.Logger
 	// OnPage is called with each page read and the number of the connection that it was read over, counted from one.
 	OnPage func(session int, d nvme.Discovery)
 }
@@ -52,7 +52,7 @@
 // runSession connects to the discovery controller and reads its log page until the connection breaks.
 func (d *Discovery) runSession(parent context.Context, session int, link *links.Link) error {
 	g, ctx := errgroup.WithContext(parent)
-	setup, cancel := context.WithTimeoutCause(ctx, d.ConnectTimeout, fmt.Errorf("not set up within %v", d.ConnectTimeout))
+	setup, cancel := context.WithTimeoutCause(ctx, d.Timeout, fmt.Errorf("not set up within %v", d.Timeout))
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(setup, "tcp", d.Address)
 	if err != nil {
@@ -110,7 +110,7 @@
 	keepAliveTicker := time.NewTicker(keepAlive / 4)
 	defer keepAliveTicker.Stop()
 	for {
-		read, done := context.WithTimeout(ctx, d.ConnectTimeout)
+		read, done := context.WithTimeout(ctx, d.Timeout)
 		l, err := readDiscovery(read, q)
 		done()
 		if err != nil {
