--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -257,8 +257,8 @@
 type Report struct {
 	Busy         uint8  // percentage of its cores in use, 0 to 100; 255: unknown
 	Requests     uint16 // requests at the node, at most 4095
-	Waiting      uint16 // of these, the waiting ones, at most 4095
-	ElsewhereKiB uint32 // KiB served for the namespace through other hosts since the last answer to this one, at most 2^24-1
+	Waiting      uint16 // of these, the requests that wait, at most 4095
+	ElsewhereKiB uint32 // served for the namespace through other hosts since the last answer to this one, at most 2^24-1
 }
 
 // Dwords packs a report into the first two dwords of a completion.
--- a/internal/nvme/initiator/discovery.go
+++ b/internal/nvme/initiator/discovery.go
@@ -16,12 +16,12 @@
 )
 
 // Discovery follows a discovery controller: it reads the log page after connecting, when notified of a change, and at
-// least once per interval Every.
+// least once per PollInterval.
 type Discovery struct {
 	Address      string
 	HostNQN      string
 	HostID       [16]byte
-	Timeout      time.Duration
+	Timeout      time.Duration // time limit for connecting and for each read of the log page
 	PollInterval time.Duration
 	Seed         uint64
 	Now          func() logic.Micros
--- a/internal/nvme/initiator/initiator_test.go
+++ b/internal/nvme/initiator/initiator_test.go
@@ -136,8 +136,8 @@
 				if !bytes.Equal(r.Buffer.B, bytes.Repeat([]byte{fill}, int(size))) {
 					t.Errorf("%d bytes read back differ", size)
 				}
-				if told := res.Load != logic.NoLoad; told == cfg.Plain {
-					t.Errorf("a load report came: %v, a plain node: %v", told, cfg.Plain)
+				if reported := res.Load != logic.NoLoad; reported == cfg.Plain {
+					t.Errorf("a load report came: %v, a plain node: %v", reported, cfg.Plain)
 				}
 			}
 			do(newAttempt(block.WriteZeroes, 4096, 4096, 0))
@@ -259,10 +259,7 @@
 // With a node that accepts connections and never answers, one that sends a byte a second, and one that is gone,
 // attempts fail at once as not connected, and the node is connected again when it recovers.
 func TestHardNodes(t *testing.T) {
-	peer, n, s := connectNode(t, standin.NodeConfig{}, func(c *initiator.Config) {
-		c.Timeout = 150 * time.Millisecond
-		c.KeepAlive = 300 * time.Millisecond
-	})
+	peer, n, s := connectNode(t, standin.NodeConfig{}, func(c *initiator.Config) { c.Timeout = 150 * time.Millisecond; c.KeepAlive = 300 * time.Millisecond })
 	expectOutcome := func(what string, want logic.Outcome) {
 		t.Helper()
 		a := newAttempt(block.Read, 0, 4096, 0)
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -34,7 +34,7 @@
 	MaxOutstanding int      // maximum number of outstanding commands over all I/O queues
 	Queues         int
 	Digests        bool
-	Timeout        time.Duration // time limit for connecting and setting up the controller
+	Timeout        time.Duration // time limit for setting up the connections, and for the reads after an event
 	KeepAlive      time.Duration // 0: none is requested
 	Seed           uint64
 	Now            func() logic.Micros
