--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -1,13 +1,14 @@
-// Package crossing decides which requests may go to a node in another zone, where each byte costs money and time. A
-// budget over all gateways, of which each keeps its even part alone, is spent where it is worth most: what is worth
-// least is refused first, at once and with the time to come back, and a part is held back for what is worth most.
-// Package logic decides everything else: a request that is let through here is an ordinary one there.
+// Package crossing decides which requests may go to a node in another zone, where each byte costs money and time. The
+// budget covers all gateways; each gateway enforces an equal share of it on its own. Classes with the lowest worth are
+// refused first, immediately and with a retry delay, and part of the budget is reserved for the class with the highest
+// worth. Package logic decides everything else: it treats a request that is admitted here like any other.
 //
-// It guards against a burst of reports that spends the budget which saves need a moment later, and against a zone that
-// loses its nodes: then the budget bends, for the classes that may, by a loan that is paid back from later income. It
-// could harm where the traffic of gateways is uneven: an idle one's part is not used by the others.
+// The budget prevents a burst of low-worth requests (reports) from using up what high-worth requests (saves) need a
+// moment later. When a zone loses its nodes, the budget bends: classes that are allowed to may exceed it by a loan,
+// which is repaid from later income. Drawback: if traffic is uneven between gateways, the share of an idle gateway is
+// not available to the others.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// The package has no clock, goroutines or I/O, and no decision depends on map order.
 package crossing
 
 import (
@@ -22,42 +23,42 @@
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// payBack is the part of the income that goes to a loan until it is paid back. More starves reports for longer,
-	// less keeps the next loan away for longer.
-	payBack = 0.5
-	// most is the longest advice when to come back.
-	most = 60 * sec
+	// loanRepayShare is the share of the income that repays an outstanding loan. A larger share starves low-worth
+	// requests for longer; a smaller one delays the next loan.
+	loanRepayShare = 0.5
+	// maxRetryAfter is the longest retry delay that a refusal returns.
+	maxRetryAfter = 60 * sec
 )
 
-// Settings are the figures of a budget over all gateways together. Sizes are bytes, both directions together.
+// Settings configures the budget of all gateways together. Sizes are in bytes and count both directions.
 type Settings struct {
-	Hosts    int
-	Rate     float64      // a second; 0: there is no budget and everything crosses
-	Burst    float64      // at once
-	Period   logic.Micros // a longer time; 0: none
-	PerTime  float64      // in it
-	HoldBack float64      // part of burst and period that only the class worth most may spend, 0 to 1
-	Lost     float64      // a zone is lost when this part of its nodes is gone; 0: never
-	Bend     float64      // times the rate for classes that bend while a zone is lost; 1 or less: it does not bend
-	BendFor  logic.Micros // and for so long at the most
+	Hosts    int          // number of gateways that share the budget
+	Rate     float64      // bytes per second; 0: no budget, every request is admitted
+	Burst    float64      // bytes that may cross at once
+	Period   logic.Micros // length of an additional, longer window; 0: none
+	PerTime  float64      // bytes that may cross within Period
+	HoldBack float64      // share of Burst and PerTime reserved for the class with the highest worth, 0 to 1
+	Lost     float64      // a zone counts as lost when this share of its nodes is unavailable; 0: never
+	Bend     float64      // factor on Rate for classes that bend while a zone is lost; 1 or less: no bending
+	BendFor  logic.Micros // longest time for which the budget bends
 	Classes  []Class
 }
 
-// Class is what is to be known of a class of requests.
+// Class holds the properties of a request class that the budget uses.
 type Class struct {
 	Worth float64
-	Bends bool
+	Bends bool // may exceed the budget while a zone is lost
 }
 
-// Check finds what cannot be right.
+// Check returns an error if a setting is out of range or inconsistent with another.
 func (s *Settings) Check() error {
-	bad := func(name string, v float64) error { return fmt.Errorf("crossing: %s is %v", name, v) }
+	bad := func(name string, v float64) error { return fmt.Errorf("crossing: invalid %s: %v", name, v) }
 	for _, x := range []struct {
-		name string
-		v    float64
-		most float64
+		name  string
+		v     float64
+		limit float64
 	}{{"rate", s.Rate, 1 << 50}, {"burst", s.Burst, 1 << 60}, {"per_time", s.PerTime, 1 << 60}, {"hold_back", s.HoldBack, 1}, {"lost", s.Lost, 1}, {"bend", s.Bend, 1000}} {
-		if math.IsNaN(x.v) || x.v < 0 || x.v > x.most {
+		if math.IsNaN(x.v) || x.v < 0 || x.v > x.limit {
 			return bad(x.name, x.v)
 		}
 	}
@@ -65,61 +66,61 @@
 		return bad("hosts", float64(s.Hosts))
 	}
 	if s.Rate > 0 && s.Burst <= 0 {
-		return errors.New("crossing: a rate needs a burst")
+		return errors.New("crossing: rate requires a burst")
 	}
 	if (s.Period > 0) != (s.PerTime > 0) {
-		return errors.New("crossing: a period and what may cross in it go together")
+		return errors.New("crossing: period and per_time must be set together")
 	}
 	return nil
 }
 
-// store is a bucket that fills with time. It may go below zero: what has crossed unasked is owed.
-type store struct {
-	rate  float64 // bytes a second
-	most  float64
-	level float64
+// bucket is a token bucket of bytes. Its level may be negative: bytes that crossed without admission are charged too.
+type bucket struct {
+	rate     float64 // bytes per second
+	capacity float64
+	level    float64
 }
 
-// Budget is one gateway's part.
+// Budget is one gateway's share of the budget.
 type Budget struct {
-	set    Settings
-	floors []float64 // by class: the part of each store that must be left
-	short  store
-	long   store
-	at     logic.Micros
-	begun  bool
-	loan   float64 // owed: spent by bending, not paid back
-	lost   bool    // a zone is lost now
-	since  logic.Micros
-	Tally  Tally
+	settings      Settings
+	floors        []float64 // by class: the share of each bucket's capacity that the class must leave
+	short         bucket    // Rate and Burst
+	long          bucket    // Period and PerTime
+	updatedAt     logic.Micros
+	started       bool    // updatedAt is valid
+	loan          float64 // bytes admitted by bending and not repaid yet
+	zoneLost      bool
+	zoneLostSince logic.Micros
+	Tally         Tally
 }
 
 // Tally counts decisions.
 type Tally struct {
 	Passed, Refused []uint64  // by class
-	PassedBytes     []float64 // admitted; what really crossed is in the ledger
-	RefusedBytes    []float64 // what it would have cost to let them pass
-	Bent            float64   // bytes that passed by bending
-	Unasked         float64   // bytes that crossed without being asked for: repeats, connections
+	PassedBytes     []float64 // by class: admitted bytes; the bytes that actually crossed are in the ledger
+	RefusedBytes    []float64 // by class: bytes of the refused requests
+	Bent            float64   // bytes admitted by bending
+	Unasked         float64   // bytes that crossed without admission: retries, connections
 }
 
-// New makes a gateway's part, full as at the start of a period.
+// New returns a gateway's share of the budget with full buckets.
 func New(s Settings) (*Budget, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	n := float64(s.Hosts)
-	b := &Budget{set: s, short: store{s.Rate / n, s.Burst / n, s.Burst / n}}
+	hosts := float64(s.Hosts)
+	b := &Budget{settings: s, short: bucket{s.Rate / hosts, s.Burst / hosts, s.Burst / hosts}}
 	if s.Period > 0 {
-		b.long = store{s.PerTime / n / seconds(s.Period), s.PerTime / n, s.PerTime / n}
+		b.long = bucket{s.PerTime / hosts / seconds(s.Period), s.PerTime / hosts, s.PerTime / hosts}
 	}
 	b.floors = floors(s.Classes, s.HoldBack)
 	b.Tally = Tally{make([]uint64, len(s.Classes)), make([]uint64, len(s.Classes)), make([]float64, len(s.Classes)), make([]float64, len(s.Classes)), 0, 0}
 	return b, nil
 }
 
-// floors gives each class the part of a store that it must leave: none for what is worth most, all that is held back for
-// what is worth least, evenly by rank between. Classes of one worth have one rank.
+// floors returns for each class the share of a bucket's capacity that the class must leave: 0 for the highest worth,
+// holdBack for the lowest, and evenly spaced by rank in between. Classes of equal worth have the same rank.
 func floors(classes []Class, holdBack float64) []float64 {
 	var worths []float64
 	for _, c := range classes {
@@ -127,141 +128,144 @@
 	}
 	slices.Sort(worths)
 	worths = slices.Compact(worths)
-	out := make([]float64, len(classes))
+	result := make([]float64, len(classes))
 	for i, c := range classes {
 		if top := len(worths) - 1; top > 0 {
-			out[i] = holdBack * float64(top-slices.Index(worths, c.Worth)) / float64(top)
+			result[i] = holdBack * float64(top-slices.Index(worths, c.Worth)) / float64(top)
 		}
 	}
-	return out
+	return result
 }
 
 func seconds(t logic.Micros) float64 { return float64(t) / 1e6 }
 
-// pass lets time go by. A clock that jumps ahead fills the stores at most; one that goes back fills nothing.
-func (b *Budget) pass(now logic.Micros) {
-	if !b.begun {
-		b.begun, b.at = true, now
+// advance adds the income since the last call. A clock that jumps ahead can at most fill the buckets; a clock that goes
+// back adds nothing.
+func (b *Budget) advance(now logic.Micros) {
+	if !b.started {
+		b.started, b.updatedAt = true, now
 	}
-	dt := seconds(max(now-b.at, 0))
-	b.at = max(now, b.at)
-	income := b.short.rate * dt
+	elapsed := seconds(max(now-b.updatedAt, 0))
+	b.updatedAt = max(now, b.updatedAt)
+	income := b.short.rate * elapsed
 	if b.loan > 0 {
-		back := min(b.loan, payBack*income)
-		b.loan -= back
-		income -= back
+		repayment := min(b.loan, loanRepayShare*income)
+		b.loan -= repayment
+		income -= repayment
 	}
-	b.short.level = min(b.short.level+income, b.short.most)
-	b.long.level = min(b.long.level+b.long.rate*dt, b.long.most)
+	b.short.level = min(b.short.level+income, b.short.capacity)
+	b.long.level = min(b.long.level+b.long.rate*elapsed, b.long.capacity)
 }
 
-// Ask is a request of a class whose data, both ways, will be so many bytes. A refusal says after what time the same
-// request would have passed, if nothing else does meanwhile.
+// Ask reports whether a request of the class may cross zones; bytes is its data in both directions. If it is refused,
+// wait is the time after which the same request would be admitted if no other request is admitted meanwhile, at most
+// maxRetryAfter.
 func (b *Budget) Ask(now logic.Micros, class int, bytes float64) (ok bool, wait logic.Micros) {
-	if b.set.Rate <= 0 || class < 0 || class >= len(b.floors) {
+	if b.settings.Rate <= 0 || class < 0 || class >= len(b.floors) {
 		return true, 0
 	}
-	b.pass(now)
+	b.advance(now)
 	floor := b.floors[class]
-	if w := max(b.short.wait(bytes, floor), b.long.wait(bytes, floor)); w > 0 {
-		if b.bends(class, bytes) {
+	if w := max(b.short.secondsUntilAvailable(bytes, floor), b.long.secondsUntilAvailable(bytes, floor)); w > 0 {
+		if b.mayBend(class, bytes) {
 			b.loan += bytes
 			b.Tally.Bent += bytes
 			b.long.level -= bytes
-			b.passed(class, bytes)
+			b.recordPassed(class, bytes)
 			return true, 0
 		}
 		b.Tally.Refused[class]++
 		b.Tally.RefusedBytes[class] += bytes
-		return false, min(logic.Micros(math.Ceil(w*1e6)), most)
+		return false, min(logic.Micros(math.Ceil(w*1e6)), maxRetryAfter)
 	}
 	b.short.level -= bytes
 	b.long.level -= bytes
-	b.passed(class, bytes)
+	b.recordPassed(class, bytes)
 	return true, 0
 }
 
-func (b *Budget) passed(class int, bytes float64) {
+func (b *Budget) recordPassed(class int, bytes float64) {
 	b.Tally.Passed[class]++
 	b.Tally.PassedBytes[class] += bytes
 }
 
-// wait is how many seconds until so many bytes may be taken, with the floor's part left; 0: now. What is larger than a
-// store can ever give passes when the store is full, and is owed: it could never cross otherwise.
-func (s *store) wait(bytes, floor float64) float64 {
-	if s.most <= 0 {
+// secondsUntilAvailable returns the time in seconds until bytes can be taken while the share floor of the capacity is
+// left; 0: now. A request larger than the bucket can ever provide passes when the bucket is full and leaves it
+// negative, because it could never cross otherwise.
+func (s *bucket) secondsUntilAvailable(bytes, floor float64) float64 {
+	if s.capacity <= 0 {
 		return 0
 	}
-	need := min(bytes+floor*s.most, s.most)
+	need := min(bytes+floor*s.capacity, s.capacity)
 	return max(need-s.level, 0) / s.rate
 }
 
-// bends tells whether the budget bends for a request: for its class, while a zone is lost, for a stated time, and up to a
-// loan that grows at the bent rate and that what comes in later pays back.
-func (b *Budget) bends(class int, bytes float64) bool {
-	s := &b.set
-	if !b.lost || s.Bend <= 1 || !s.Classes[class].Bends || b.at-b.since > s.BendFor {
+// mayBend reports whether a request may exceed the budget: its class bends, a zone is lost, and has been for no longer
+// than BendFor, and the loan stays within a limit that grows at the additional rate. Later income repays the loan.
+func (b *Budget) mayBend(class int, bytes float64) bool {
+	s := &b.settings
+	if !b.zoneLost || s.Bend <= 1 || !s.Classes[class].Bends || b.updatedAt-b.zoneLostSince > s.BendFor {
 		return false
 	}
-	return b.loan+bytes <= (s.Bend-1)*b.short.rate*seconds(b.at-b.since)+b.short.most
+	return b.loan+bytes <= (s.Bend-1)*b.short.rate*seconds(b.updatedAt-b.zoneLostSince)+b.short.capacity
 }
 
-// Spent is what has crossed without having been asked for, or the difference to what was asked: repeats, second copies,
-// answers to what was called off, connections. It is owed whatever is left.
+// Spent charges bytes that crossed without admission, or the difference from what was admitted: retries, hedges,
+// answers to cancelled attempts, connections. They are charged even if the level becomes negative.
 func (b *Budget) Spent(now logic.Micros, bytes float64) {
-	b.pass(now)
-	b.short.level = min(b.short.level-bytes, b.short.most)
-	b.long.level = min(b.long.level-bytes, b.long.most)
+	b.advance(now)
+	b.short.level = min(b.short.level-bytes, b.short.capacity)
+	b.long.level = min(b.long.level-bytes, b.long.capacity)
 	b.Tally.Unasked += max(bytes, 0)
 }
 
-// Back gives back what was asked for and never crossed.
+// Back refunds bytes that were admitted and never crossed.
 func (b *Budget) Back(now logic.Micros, bytes float64) {
-	b.pass(now)
-	b.short.level = min(b.short.level+bytes, b.short.most)
-	b.long.level = min(b.long.level+bytes, b.long.most)
+	b.advance(now)
+	b.short.level = min(b.short.level+bytes, b.short.capacity)
+	b.long.level = min(b.long.level+bytes, b.long.capacity)
 }
 
-// Zones is news of the nodes: for each zone how many there should be and how many take work.
+// Zones updates the state of all zones: how many nodes each should have and how many accept work.
 func (b *Budget) Zones(now logic.Micros, zones []Zone) {
-	b.pass(now)
+	b.advance(now)
 	lost := false
 	for _, z := range zones {
-		lost = lost || b.set.Lost > 0 && z.Nodes > 0 && float64(z.Nodes-z.Ready) >= b.set.Lost*float64(z.Nodes)
+		lost = lost || b.settings.Lost > 0 && z.Nodes > 0 && float64(z.Nodes-z.Ready) >= b.settings.Lost*float64(z.Nodes)
 	}
-	// A zone that flaps is lost since it first was, as long as the loan for it is not paid back: or each flap would lend
-	// anew.
-	if lost && !b.lost && b.loan == 0 {
-		b.since = now
+	// While a loan is not repaid, the start time of the first loss is kept. Otherwise each change of a flapping zone
+	// would grant a new loan.
+	if lost && !b.zoneLost && b.loan == 0 {
+		b.zoneLostSince = now
 	}
-	b.lost = lost
+	b.zoneLost = lost
 }
 
-// Foreign tells whether bytes between a gateway and a node of a zone cross. One whose zone is not told, which is below
-// zero, counts as foreign: too much is held to the budget rather than too little. A gateway whose own is not told has no
-// zones.
+// Foreign reports whether bytes between a gateway in zone own and a node in zone node cross zones. A negative zone is
+// unknown. A node of unknown zone counts as being in another zone, so that the budget covers too much rather than too
+// little. For a gateway of unknown zone nothing crosses.
 func Foreign(own, node int) bool { return own >= 0 && node != own }
 
-// Zone is a zone's nodes.
+// Zone is a zone with its number of configured nodes and of nodes that accept work.
 type Zone struct{ ID, Nodes, Ready int }
 
-// Level is what the stores hold, and what is owed of the loan.
+// Level returns the levels of the short-term and the long-term bucket and the loan that is not repaid, in bytes.
 func (b *Budget) Level(now logic.Micros) (short, long, loan float64) {
-	b.pass(now)
+	b.advance(now)
 	return b.short.level, b.long.level, b.loan
 }
 
-// Memory is what outlasts a restart: levels, and the age of them.
+// Memory is the state that is saved over a restart. The caller stores its age with it.
 type Memory struct{ Short, Long, Loan float64 }
 
-// Memory copies it.
+// Memory returns the state to save.
 func (b *Budget) Memory(now logic.Micros) Memory {
-	b.pass(now)
+	b.advance(now)
 	return Memory{b.short.level, b.long.level, b.loan}
 }
 
-// Remember gives a new budget what an earlier process had left, which is so old, 0 where that is not known: then nothing
-// has come in since. Without a memory a gateway that may have spent before begins with nothing at hand.
+// Remember restores the state that an earlier process saved. Age is the time since then; with 0, age unknown, no income
+// is added. With a nil m the buckets start empty, because an earlier process may have spent the budget.
 func (b *Budget) Remember(m *Memory, age logic.Micros) error {
 	if m == nil {
 		b.short.level, b.long.level = 0, 0
@@ -269,14 +273,14 @@
 	}
 	for _, v := range []float64{m.Short, m.Long, m.Loan} {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			return fmt.Errorf("crossing: a memory of %v", v)
+			return fmt.Errorf("crossing: saved state contains invalid value %v", v)
 		}
 	}
-	b.short.level, b.long.level, b.loan = min(m.Short, b.short.most), min(m.Long, b.long.most), max(m.Loan, 0)
+	b.short.level, b.long.level, b.loan = min(m.Short, b.short.capacity), min(m.Long, b.long.capacity), max(m.Loan, 0)
 	if age > 0 {
-		b.begun, b.at = true, -age
-		b.pass(0)
-		b.begun = false
+		b.started, b.updatedAt = true, -age
+		b.advance(0)
+		b.started = false
 	}
 	return nil
 }
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -15,12 +15,12 @@
 	report
 )
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{Hosts: 2, Rate: 2000, Burst: 4000, HoldBack: 0.5, Lost: 0.5, Bend: 3, BendFor: 10 * sec,
 		Classes: []Class{{Worth: 3, Bends: true}, {Worth: 2}, {Worth: 1}}}
 }
 
-func budget(t interface{ Fatal(...any) }, s Settings) *Budget {
+func newBudget(t interface{ Fatal(...any) }, s Settings) *Budget {
 	b, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -28,10 +28,10 @@
 	return b
 }
 
-// Reports are refused first, then reads; saves may spend all. A refusal names the time at which the same request passes,
-// and not a moment before it does.
+// Reports are refused first, then reads; saves may use the whole budget. The retry delay of a refusal is exact: the
+// same request passes after it and not one microsecond earlier.
 func TestOrderOfRefusal(t *testing.T) {
-	b := budget(t, settings()) // its part: 1000 a second, 2000 at once; floors 0, 500, 1000
+	b := newBudget(t, testSettings()) // this gateway's share: 1000 bytes/s, burst 2000; floors of 0, 500 and 1000 bytes
 	ask := func(now logic.Micros, class int, bytes float64, want bool) logic.Micros {
 		t.Helper()
 		ok, wait := b.Ask(now, class, bytes)
@@ -43,47 +43,47 @@
 	ask(0, report, 900, true)
 	wait := ask(0, report, 300, false)
 	if wait != 200*ms {
-		t.Errorf("advice %d, want 200 ms", wait)
+		t.Errorf("retry delay %d, want 200 ms", wait)
 	}
 	ask(0, read, 600, true)
 	ask(0, read, 100, false)
 	ask(0, save, 500, true)
 	ask(0, save, 1, false)
-	b = budget(t, settings())
+	b = newBudget(t, testSettings())
 	b.Ask(0, report, 900)
 	ask(wait-1, report, 300, false)
-	b = budget(t, settings())
+	b = newBudget(t, testSettings())
 	b.Ask(0, report, 900)
 	ask(wait, report, 300, true)
 }
 
-// A request larger than the whole budget passes when the store is full, and is owed afterwards.
+// A request larger than the bucket passes when the bucket is full and leaves its level negative.
 func TestLargerThanBudget(t *testing.T) {
-	b := budget(t, settings())
+	b := newBudget(t, testSettings())
 	if ok, _ := b.Ask(0, report, 5000); !ok {
-		t.Error("never passes")
+		t.Error("refused although the bucket is full")
 	}
 	if ok, wait := b.Ask(0, save, 1); ok || wait < 3*sec {
-		t.Errorf("%v after %d: what was owed is forgotten", ok, wait)
+		t.Errorf("got %v, retry delay %d; want a refusal of 3 s or more for the negative level", ok, wait)
 	}
 	if ok, _ := b.Ask(4*sec, report, 5000); ok {
-		t.Error("passes again before the store is full")
+		t.Error("passes again before the bucket is full")
 	}
 	if ok, _ := b.Ask(5*sec, report, 5000); !ok {
-		t.Error("does not pass with a full store")
+		t.Error("refused although the bucket is full again")
 	}
 }
 
-// A zone lost: the budget bends for saves and not for reports, at the stated rate and for the stated time; the loan is
-// paid back from what comes in, and flapping lends nothing twice.
+// While a zone is lost, the budget bends for saves and not for reports, at the configured rate and for the configured
+// time. The loan is repaid from income, and a flapping zone grants no second loan.
 func TestBend(t *testing.T) {
-	b := budget(t, settings())
+	b := newBudget(t, testSettings())
 	for b.short.level > 0 {
 		b.Ask(0, save, 100)
 	}
 	b.Zones(0, []Zone{{0, 4, 4}, {1, 4, 3}})
 	if ok, _ := b.Ask(0, save, 100); ok {
-		t.Error("bends with a quarter of a zone lost")
+		t.Error("bends with a quarter of a zone's nodes lost")
 	}
 	b.Zones(0, []Zone{{0, 4, 4}, {1, 4, 2}})
 	passed := [3]float64{}
@@ -98,7 +98,7 @@
 			b.Zones(now, []Zone{{1, 4, 2}})
 		}
 	}
-	// At most: 1000 a second of its own, and a loan of twice that for 10 s, all over 20 s.
+	// At most: the share of 1000 bytes/s for 20 s, a loan of 2000 bytes/s for 10 s, and the burst of 2000.
 	if passed[save] < 15_000 || passed[save] > 20_000+20_000+2000 {
 		t.Errorf("saves crossed with %.0f bytes in 20 s", passed[save])
 	}
@@ -108,21 +108,21 @@
 	b.Zones(20*sec, []Zone{{1, 4, 4}})
 	_, _, loan := b.Level(20 * sec)
 	if loan < 10_000 || loan > 22_000 {
-		t.Errorf("a loan of %.0f", loan)
+		t.Errorf("loan is %.0f, want 10000 to 22000", loan)
 	}
 	before := b.loan
 	if _, _, after := b.Level(30 * sec); after != before-5000 {
-		t.Errorf("paid back %.0f of %.0f in 10 s, want half of what came in, 5000", before-after, before)
+		t.Errorf("repaid %.0f of %.0f in 10 s, want half of the income, 5000", before-after, before)
 	}
 }
 
-// Whatever is asked, when and by whom, with zones that come and go and clocks that jump: what passes in any window stays
-// within rate and burst, the loan, and one request; what has crossed unasked counts; and no state is left that is no number.
+// For any sequence of requests, zone changes and clock jumps, the admitted bytes of any time window stay within rate,
+// burst, loan and one request plus the bytes that crossed without admission, and no level becomes NaN.
 func TestBudgetKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := settings()
+		s := testSettings()
 		s.Period, s.PerTime = 60*sec, 50_000
-		b := budget(t, s)
+		b := newBudget(t, s)
 		type draw struct {
 			at    logic.Micros
 			bytes float64
@@ -140,7 +140,7 @@
 				draws = append(draws, draw{now, n})
 				largest = max(largest, n)
 			case 2:
-				b.Ask(now-logic.Micros(rapid.IntRange(1, 1_000_000).Draw(t, "back")), report, 1e9) // a clock that went back
+				b.Ask(now-logic.Micros(rapid.IntRange(1, 1_000_000).Draw(t, "back")), report, 1e9) // the clock goes back
 			default:
 				n := float64(rapid.IntRange(1, 3000).Draw(t, "bytes"))
 				class := rapid.IntRange(0, 2).Draw(t, "class")
@@ -149,11 +149,11 @@
 					draws = append(draws, draw{now, n})
 					largest = max(largest, n)
 				} else if wait <= 0 {
-					t.Fatalf("refused with no time to come back")
+					t.Fatalf("refused without a retry delay")
 				}
 			}
 			if math.IsNaN(b.short.level + b.long.level + b.loan) {
-				t.Fatal("a level is no number")
+				t.Fatal("a level is NaN")
 			}
 		}
 		for i := range draws {
@@ -173,9 +173,9 @@
 	})
 }
 
-// A restart forgets nothing in the budget's favour.
+// A restart does not increase the available budget beyond the income since the state was saved.
 func TestRemember(t *testing.T) {
-	b := budget(t, settings())
+	b := newBudget(t, testSettings())
 	b.Ask(0, save, 1500)
 	b.loan = 300
 	m := b.Memory(0)
@@ -183,17 +183,17 @@
 		m     *Memory
 		age   logic.Micros
 		short float64
-	}{{&m, 0, 500}, {&m, sec, 1200}, {nil, 0, 0}} { // of 1000 that came in 300 pay the loan back
-		n := budget(t, settings())
+	}{{&m, 0, 500}, {&m, sec, 1200}, {nil, 0, 0}} { // 300 of the income of 1000 repay the loan
+		n := newBudget(t, testSettings())
 		if err := n.Remember(c.m, c.age); err != nil {
 			t.Fatal(err)
 		}
 		if short, _, _ := n.Level(77 * sec); short != c.short {
-			t.Errorf("after %d: %.0f at hand, want %.0f", c.age, short, c.short)
+			t.Errorf("after %d: level is %.0f, want %.0f", c.age, short, c.short)
 		}
 	}
-	if budget(t, settings()).Remember(&Memory{Short: math.NaN()}, 0) == nil {
-		t.Error("takes a level that is no number")
+	if newBudget(t, testSettings()).Remember(&Memory{Short: math.NaN()}, 0) == nil {
+		t.Error("a saved level of NaN is accepted")
 	}
 }
 
@@ -202,15 +202,15 @@
 		"no burst": func(s *Settings) { s.Burst = 0 }, "nan": func(s *Settings) { s.Rate = math.NaN() }, "hold back": func(s *Settings) { s.HoldBack = 1.5 },
 		"period alone": func(s *Settings) { s.Period = sec }, "hosts": func(s *Settings) { s.Hosts = 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		if change(&s); s.Check() == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: invalid settings are accepted", name)
 		}
 	}
 }
 
 func BenchmarkAsk(b *testing.B) {
-	x := budget(b, settings())
+	x := newBudget(b, testSettings())
 	now := logic.Micros(0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/crossing/history.go
+++ b/crossing/history.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Count is what was counted of bytes by what they were for; who counts says what the numbers name.
+// Count counts attempts and bytes by purpose. The caller defines the meaning of Volume, Class, Zone and Reason.
 type Count struct {
 	Volume   uint64
 	Class    int
@@ -19,92 +19,94 @@
 	return Count{Volume: c.Volume, Class: c.Class, Zone: c.Zone, Reason: c.Reason}
 }
 
-// Slot is what was counted in a time of [SlotLength] seconds.
+// Slot holds the counts of [SlotLength] seconds.
 type Slot struct {
 	From   int64 // seconds since 1970, a multiple of SlotLength
 	Counts []Count
 }
 
 const (
-	// SlotLength is how fine the history is, in seconds.
+	// SlotLength is the resolution of the history in seconds.
 	SlotLength = 600
-	// Its bounds: a day, and so many counts over all slots; the oldest slots go first.
-	mostSlots  = 144
-	mostCounts = 20_000
+	// The history is bounded to a day and to maxCounts counts over all slots; the oldest slots are evicted first.
+	maxSlots  = 144
+	maxCounts = 20_000
 )
 
-// History is what was counted over time. Its zero value is an empty one.
+// History holds counts over time. The zero value is an empty history.
 type History struct {
-	Slots []Slot // in time's order
-	last  map[Count]Count
-	sum   int
+	Slots      []Slot          // by ascending time
+	lastTotals map[Count]Count // last totals noted, by their key
+	numCounts  int             // over all slots
 }
 
-// Remember takes up what an earlier process has noted, and its totals: only what is counted beyond them is new.
+// Remember restores the slots of an earlier process and its totals. Later calls of Note add only what exceeds the
+// totals.
 func (h *History) Remember(slots []Slot, totals []Count) {
-	h.Slots, h.sum = nil, 0
+	h.Slots, h.numCounts = nil, 0
 	for _, s := range slots {
-		if n := len(h.Slots); n == 0 || s.From > h.Slots[n-1].From { // anything else is no history
+		if n := len(h.Slots); n == 0 || s.From > h.Slots[n-1].From { // skip slots that are out of order
 			h.Slots = append(h.Slots, Slot{s.From, slices.Clone(s.Counts)})
-			h.sum += len(s.Counts)
+			h.numCounts += len(s.Counts)
 		}
 	}
-	h.last = map[Count]Count{}
+	h.lastTotals = map[Count]Count{}
 	for _, t := range totals {
-		h.last[t.key()] = t
+		h.lastTotals[t.key()] = t
 	}
-	h.bound()
+	h.evictOldest()
 }
 
-// Note takes the totals at a time by the wall clock. A clock that was set back adds to the last slot.
+// Note adds the growth of the totals to the slot of the wall-clock time, in seconds since 1970. If the clock was set
+// back, it is added to the last slot.
 func (h *History) Note(wall int64, totals []Count) {
-	if h.last == nil {
-		h.last = map[Count]Count{}
+	if h.lastTotals == nil {
+		h.lastTotals = map[Count]Count{}
 	}
 	from := wall - wall%SlotLength
 	for _, t := range totals {
-		k := t.key()
-		was := h.last[k]
-		d := k
-		d.Attempts, d.Out, d.In = t.Attempts-was.Attempts, t.Out-was.Out, t.In-was.In
-		if t.Attempts < was.Attempts || d.Out < 0 || d.In < 0 { // counted anew from nothing
-			d = t
+		key := t.key()
+		previous := h.lastTotals[key]
+		delta := key
+		delta.Attempts, delta.Out, delta.In = t.Attempts-previous.Attempts, t.Out-previous.Out, t.In-previous.In
+		if t.Attempts < previous.Attempts || delta.Out < 0 || delta.In < 0 { // the counters were reset
+			delta = t
 		}
-		if d.Attempts == 0 && d.Out == 0 && d.In == 0 {
+		if delta.Attempts == 0 && delta.Out == 0 && delta.In == 0 {
 			continue
 		}
-		h.last[k] = t
+		h.lastTotals[key] = t
 		n := len(h.Slots)
 		if n == 0 || h.Slots[n-1].From < from {
 			h.Slots = append(h.Slots, Slot{From: from})
 			n++
 		}
 		s := &h.Slots[n-1]
-		i, found := slices.BinarySearchFunc(s.Counts, k, func(a, b Count) int { return order(a.key(), b) })
+		i, found := slices.BinarySearchFunc(s.Counts, key, func(a, b Count) int { return compareKeys(a.key(), b) })
 		if !found {
-			s.Counts = slices.Insert(s.Counts, i, k)
-			h.sum++
+			s.Counts = slices.Insert(s.Counts, i, key)
+			h.numCounts++
 		}
 		c := &s.Counts[i]
-		c.Attempts += d.Attempts
-		c.Out += d.Out
-		c.In += d.In
+		c.Attempts += delta.Attempts
+		c.Out += delta.Out
+		c.In += delta.In
 	}
-	h.bound()
+	h.evictOldest()
 }
 
-func order(a, b Count) int {
+func compareKeys(a, b Count) int {
 	return cmp.Or(cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Reason, b.Reason))
 }
 
-func (h *History) bound() {
-	for len(h.Slots) > 1 && (len(h.Slots) > mostSlots || h.sum > mostCounts) {
-		h.sum -= len(h.Slots[0].Counts)
+func (h *History) evictOldest() {
+	for len(h.Slots) > 1 && (len(h.Slots) > maxSlots || h.numCounts > maxCounts) {
+		h.numCounts -= len(h.Slots[0].Counts)
 		h.Slots = slices.Delete(h.Slots, 0, 1)
 	}
 }
 
-// Copy is a copy that does not change any more.
+// Copy returns a deep copy of the slots.
 func (h *History) Copy() []Slot {
 	out := make([]Slot, len(h.Slots))
 	for i, s := range h.Slots {
--- a/crossing/history_test.go
+++ b/crossing/history_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Only what is new is added, to the slot of its time; a clock that goes back, a restart and totals that begin anew lose
-// and double nothing; the oldest slots go where there are too many.
+// Only the growth of the totals is added, to the slot of its time. A clock that goes back, a restart and counters that
+// are reset neither lose nor double counts. The oldest slots are evicted when there are too many.
 func TestHistory(t *testing.T) {
 	var h History
 	c := func(class int, attempts uint64, out, in int64) Count {
@@ -24,17 +24,17 @@
 	var again History
 	again.Remember(append(kept, Slot{From: 5}), []Count{c(1, 5, 50, 21)})
 	again.Note(1300, []Count{c(1, 6, 60, 21)})
-	again.Note(1900, []Count{c(1, 1, 7, 1)}) // counted from nothing
+	again.Note(1900, []Count{c(1, 1, 7, 1)}) // the counters were reset
 	if n := len(again.Slots); n != 3 || again.Slots[1].Counts[0] != c(1, 3, 30, 1) || again.Slots[2].Counts[0] != c(1, 1, 7, 1) {
 		t.Fatalf("%+v", again.Slots)
 	}
 	if !reflect.DeepEqual(kept, want) {
-		t.Error("a copy has changed")
+		t.Error("the copy has changed")
 	}
 	for i := range 300 {
 		h.Note(int64(10_000+i*SlotLength), []Count{c(1, uint64(10+i), 100, 100)})
 	}
-	if len(h.Slots) != mostSlots {
+	if len(h.Slots) != maxSlots {
 		t.Errorf("%d slots", len(h.Slots))
 	}
 	var many []Count
@@ -47,7 +47,7 @@
 		}
 		h.Note(int64(1_000_000+i*SlotLength), many)
 	}
-	if h.sum > mostCounts || len(h.Slots) != 2 {
-		t.Errorf("%d counts in %d slots", h.sum, len(h.Slots))
+	if h.numCounts > maxCounts || len(h.Slots) != 2 {
+		t.Errorf("%d counts in %d slots", h.numCounts, len(h.Slots))
 	}
 }
