--- a/copies/copies.go
+++ b/copies/copies.go
@@ -1,18 +1,19 @@
-// Package copies decides for an extent that lies at more than one place: where a change goes, when it is held by enough
-// copies to be answered, which copies a read may go to, what a copy has missed and when it is caught up. Package logic
-// decides everything about each single send; this package only finds the cells.
+// Package copies decides about the replication of an extent that has several copies: where a change (a write) is sent,
+// when enough copies hold it to answer it, which copies a read may use, what a copy has missed and when it is caught
+// up. Package logic schedules each single send; this package only chooses the cells.
 //
-// One copy leads each region of the extent: what it holds is what the region is. Before a change is sent anywhere, a
-// mark of its regions, which names their leads, is on stable storage; so after a process that was killed each marked
-// region is as its lead has it, and every other copy of it counts as stale. A copy that ended a change without
-// surely holding it is stale from then on, and is not read until it is whole again. Where a lead is the one that
-// failed, and enough others hold the change, the lead moves, and the change is answered once that is on stable storage.
+// For each region of the extent one copy is the lead: its content is the content of the region. Before a change is sent
+// to any copy, marks of its regions, which name their leads, are written to stable storage. If the process is killed,
+// each marked region is restored from its lead and all other copies of it count as stale. A copy for which a change
+// ended without certainty that it holds the change is stale from then on, and is not read until it is up to date again.
+// If the lead failed and enough other copies hold the change, the lead moves to one of them, and the change is answered
+// once the new mark is on stable storage.
 //
-// It guards against a copy that missed a write and is read as if it had not: nodes that die, links that are cut, a
-// gateway killed between two sends, a budget that lets no second send pass. It could harm where changes are spread
-// thinly over a large extent: each first one in a region waits for its mark.
+// This prevents reads from a copy that has missed a write because a node died, a link was cut, the gateway was killed
+// between two sends, or the crossing budget did not admit the second send. Drawback: if changes are spread thinly over
+// a large extent, the first change in each region waits for its mark.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// The package has no clock, goroutines or I/O, and no decision depends on map order.
 package copies
 
 import (
@@ -28,38 +29,38 @@
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// Most is how many copies an extent may have.
+	// Most is the maximum number of copies of an extent.
 	Most = 8
-	// quiet is how long a region has had no change when its mark is taken away: shorter costs more marks where the same
-	// regions change again and again, longer more to be caught up after a process was killed.
-	quiet = 5 * sec
-	// retry is how often a mark that could not be kept is tried again.
-	retry = 1 * sec
-	// leadPart of a change's aim is how long its leads are waited for where others hold it.
-	leadPart = 0.5
-	// again is when a client is to come back where too few copies could take its change.
-	again = 300 * ms
-	// lookAgain is how long a copy that cannot be reached is left alone by catching up; of mostLooked regions at a time
-	// the next one is looked for, with a breath between: an extent may have millions.
-	lookAgain, breath = 500 * ms, 10 * ms
-	mostLooked        = 1024
-	// After a failure to catch a copy up the next try waits, twice as long each time.
-	firstPause, mostPause = 100 * ms, 10 * sec
+	// markIdleTime is how long a region must be without changes before its mark is dropped. A shorter time writes more
+	// marks if the same regions change repeatedly; a longer one leaves more to catch up after the process was killed.
+	markIdleTime = 5 * sec
+	// markRetryInterval is the interval at which writing a failed mark is retried.
+	markRetryInterval = 1 * sec
+	// leadWaitShare is the share of a change's aim for which its leads are awaited when other copies hold it.
+	leadWaitShare = 0.5
+	// retryAfter is the retry delay of a change that is refused because too few copies can take it or its mark failed.
+	retryAfter = 300 * ms
+	// catchUpPollInterval is the interval at which catching up checks again for reachable copies. An extent may have
+	// millions of regions: each scan for the next one visits at most maxRegionsScanned, with scanPause between scans.
+	catchUpPollInterval, scanPause = 500 * ms, 10 * ms
+	maxRegionsScanned              = 1024
+	// The backoff after a failure to catch up a copy doubles with each failure, within these bounds.
+	minCatchUpBackoff, maxCatchUpBackoff = 100 * ms, 10 * sec
 )
 
 // Mask is a set of copies.
 type Mask uint8
 
-// Of is the set of one copy.
+// Of returns the set that contains only copy.
 func Of(copy int) Mask { return 1 << copy }
 
-// Has tells whether a copy is in the set.
+// Has reports whether copy is in the set.
 func (m Mask) Has(copy int) bool { return m&Of(copy) != 0 }
 
-// Len is how many are.
+// Len returns the number of copies in the set.
 func (m Mask) Len() int { return bits.OnesCount8(uint8(m)) }
 
-// First is the lowest copy in the set, below zero where there is none.
+// First returns the lowest copy in the set, or -1 if it is empty.
 func (m Mask) First() int {
 	if m == 0 {
 		return -1
@@ -67,312 +68,319 @@
 	return bits.TrailingZeros8(uint8(m))
 }
 
-func all(n int) Mask { return Mask(1<<n - 1) }
+func allCopies(n int) Mask { return Mask(1<<n - 1) }
 
-// Settings are those of a mirrored extent.
+// Settings describes a mirrored extent.
 type Settings struct {
-	Copies int   // how many
-	Hold   int   // a change is answered when so many hold it
-	Region int64 // bytes of a region, for which marks are kept
-	Size   int64 // bytes of the extent
+	Copies int   // number of copies
+	Hold   int   // number of copies that must hold a change before it is answered
+	Region int64 // size in bytes of the regions for which marks are kept
+	Size   int64 // size of the extent in bytes
 }
 
-// Check finds what cannot be right.
+// Check returns an error if a setting is out of range.
 func (s *Settings) Check() error {
 	switch {
 	case s.Copies < 1 || s.Copies > Most:
 		return fmt.Errorf("copies: %d copies, between 1 and %d can be", s.Copies, Most)
 	case s.Hold < 1 || s.Hold > s.Copies:
-		return fmt.Errorf("copies: %d of %d copies are to hold a change", s.Hold, s.Copies)
+		return fmt.Errorf("copies: %d of %d copies must hold a change", s.Hold, s.Copies)
 	case s.Region <= 0 || s.Size <= 0:
-		return fmt.Errorf("copies: regions of %d bytes in an extent of %d", s.Region, s.Size)
+		return fmt.Errorf("copies: invalid region size of %d bytes in an extent of %d bytes", s.Region, s.Size)
 	}
 	return nil
 }
 
-// Mark is what must outlast the process for a region: which copy leads it.
+// Mark records which copy leads a region. It must survive the process.
 type Mark struct {
 	Region int64
 	Lead   int
 }
 
-// Output is something to do.
+// Output is an action for the caller.
 type Output struct {
 	Kind   OutputKind
 	Change *Change
 	Mark   Mark
 }
 
-// OutputKind says what.
+// OutputKind is the kind of an Output.
 type OutputKind uint8
 
 const (
-	Keep   OutputKind = iota // bring Mark to stable storage, then call Kept; marks of a region in the order given
-	Forget                   // take the mark of Mark.Region away, some time; nothing waits for it
-	Send                     // send Change to the copies of Change.Sent
-	Answer                   // Change.Verdict is final; attempts may be out still
+	Keep   OutputKind = iota // write Mark to stable storage, then call Kept; marks of one region in the order given
+	Forget                   // delete the mark of Mark.Region at any later time; nothing waits for it
+	Send                     // send Change to the copies in Change.Sent
+	Answer                   // Change.Verdict is final; attempts may still be in flight
 )
 
-// Verdict is how a change ended for its client.
+// Verdict is the result of a change for its client.
 type Verdict uint8
 
 const (
 	Served  Verdict = iota
-	Refused         // it ran nowhere, or doing it again is harmless
-	Failed          // no promise
+	Refused         // it ran at no copy, or repeating it is harmless
+	Failed          // no promise: it may have run
 )
 
-// Change is a change of the bytes [From, To) of the extent on its way to the copies.
+// Change is a write of the bytes [From, To) of the extent to its copies.
 type Change struct {
 	From, To int64
-	Aim      logic.Micros // a good answer comes within this
-	By       logic.Micros // its answer is due
-	Harmless bool         // doing it again is, also where it may have run: then it is refused rather than failed
-	Owner    any          // the caller's own
-
-	Sent    Mask // copies that it goes to
-	Held    Mask // that surely hold it
-	Over    Mask // whose end is known
+	Aim      logic.Micros // response time that the class promises
+	By       logic.Micros // deadline of its answer
+	Harmless bool         // repeating it is harmless even if it may have run: it is refused rather than failed
+	Owner    any          // opaque value of the caller
+
+	Sent    Mask // copies that it is sent to
+	Held    Mask // copies that certainly hold it
+	Over    Mask // copies at which it has ended
 	Verdict Verdict
-	Wait    logic.Micros // refused: advice when to come back; 0: none
+	Wait    logic.Micros // retry delay of a refusal; 0: none
 
-	patience logic.Micros // its leads are waited for until then; 0: no longer
-	ran      Mask         // may have run there
-	seq      uint64
-	waits    int // marks that are not kept yet, before it is sent
-	unkept   bool
-	sent     bool
-	answered bool
+	leadWaitUntil logic.Micros // its leads are awaited until then; 0: no longer
+	mayHaveRun    Mask         // copies at which it may have run without being held for certain
+	seq           uint64
+	pendingMarks  int // marks that must be on stable storage before it is sent
+	markFailed    bool
+	sent          bool
+	answered      bool
 }
 
-// Done tells whether nothing of the change is left: answered, and over at every copy.
+// Done reports whether the change is answered and has ended at every copy that it was sent to.
 func (c *Change) Done() bool { return c.answered && (!c.sent || c.Over == c.Sent) }
 
 type region struct {
-	n        int64
-	lead     int
-	stale    Mask
-	kept     bool // its mark is on stable storage, with this lead
-	keeping  bool // and on its way there
-	want     int  // the lead that the mark on its way names
-	upset    bool // meanwhile a change has failed that not both of the leads surely hold
-	live     int  // changes not done
-	changed  logic.Micros
-	listed   bool // in Set.idle
-	filling  Mask // copies that are being caught up now
-	from, to [Most]int64
-	after    [Most]uint64 // the last change begun before a copy was last caught up
-	waiting  []*Change    // for the mark, to be sent
-}
-
-// Set is one mirrored extent. Its size is bounded by its caller's changes, which are bounded, and by its regions.
+	index                int64
+	lead                 int
+	stale                Mask
+	marked               bool // its mark with this lead is on stable storage
+	persisting           bool // a mark is being written
+	pendingLead          int  // lead named by the mark that is being written
+	leadsDiffer          bool // while persisting: a change ended that not both lead and pendingLead certainly hold
+	numActive            int  // number of changes that are not done
+	lastChange           logic.Micros
+	inIdleList           bool         // in Set.idleRegions
+	catchingUp           Mask         // copies that are being caught up
+	missedFrom, missedTo [Most]int64  // by copy: the bytes that it has missed
+	fillSeq              [Most]uint64 // by copy: sequence number of the last change begun before its latest fill started
+	waitingChanges       []*Change    // to be sent once the mark is on stable storage
+}
+
+// Set is the state of one mirrored extent. Its size is bounded by the changes in flight, which the caller bounds, and
+// by the number of regions.
 type Set struct {
-	set     Settings
-	regions btree.Map[int64, *region] // those that are not plainly whole
-	live    []*Change                 // in turn
-	seq     uint64
-	pause   [Most]logic.Micros
-	until   [Most]logic.Micros // of catching up
-	next    int64              // region from which the next one to be caught up is looked for
-	stale   int                // regions with a stale copy
-	missing [Most]int          // regions in which a copy is
-	idle    []idle             // whose marks may be needed no more, by time
-	unkept  []int64            // whose marks could not be kept, to be tried again at retryAt
-	retryAt logic.Micros
-	out     []Output
-	Tally   Tally
-}
-
-// idle is a region without changes since a time.
-type idle struct {
-	n  int64
-	at logic.Micros
-}
-
-// Tally counts what was decided.
+	settings         Settings
+	regions          btree.Map[int64, *region] // regions with a mark, a change or a stale copy; all others are up to date
+	active           []*Change                 // in the order begun
+	seq              uint64
+	catchUpBackoff   [Most]logic.Micros
+	catchUpNotBefore [Most]logic.Micros // by copy: earliest time of the next fill after a failure
+	nextScan         int64              // region at which the next scan for stale regions starts
+	numStaleRegions  int                // number of regions with a stale copy
+	numStaleByCopy   [Most]int          // number of regions in which the copy is stale
+	idleRegions      []idleRegion       // candidates for dropping their marks, by time
+	failedMarks      []int64            // regions whose marks could not be written; retried at markRetryAt
+	markRetryAt      logic.Micros
+	outputs          []Output
+	Tally            Tally
+}
+
+// idleRegion is a region that has had no changes since a time.
+type idleRegion struct {
+	index int64
+	since logic.Micros
+}
+
+// Tally counts decisions.
 type Tally struct {
 	Marks, Forgotten uint64
-	Missed           uint64 // ends of changes that left a copy stale
-	Moves            uint64 // of leads
-	Caught           uint64 // runs caught up
+	Missed           uint64 // times that a copy missed bytes of a region
+	Moves            uint64 // changes of leads
+	Caught           uint64 // byte ranges caught up
 	CaughtBytes      uint64
-	Refused          uint64 // changes that too few copies could take
+	Refused          uint64 // changes refused because too few copies could take them
 }
 
-// New makes a set whose copies are all whole.
+// New returns a set whose copies are all up to date.
 func New(s Settings) (*Set, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	return &Set{set: s}, nil
+	return &Set{settings: s}, nil
 }
 
-// Out gives what there is to do since the last call, in turn. It is valid until the next call of any method.
+// Out returns the actions since the last call, in order. The result is valid until the next call of any method.
 func (s *Set) Out() []Output {
-	out := s.out
-	s.out = nil
+	out := s.outputs
+	s.outputs = nil
 	return out
 }
 
-func (s *Set) emit(o Output) { s.out = append(s.out, o) }
+func (s *Set) emit(o Output) { s.outputs = append(s.outputs, o) }
 
-// Remember takes up a mark that an earlier process has left, before anything else. All copies but its lead count as
-// stale: what that process had sent and not heard of may have reached any of them.
+// Remember restores a mark of an earlier process; it must be called before any other method. All copies but the lead
+// count as stale, because writes of that process that were still in flight may have reached any of them.
 func (s *Set) Remember(m Mark) error {
-	if m.Region < 0 || m.Region*s.set.Region >= s.set.Size || m.Lead < 0 || m.Lead >= s.set.Copies {
-		return fmt.Errorf("copies: a mark of region %d, led by copy %d, of %d copies of %d bytes", m.Region, m.Lead, s.set.Copies, s.set.Size)
+	if m.Region < 0 || m.Region*s.settings.Region >= s.settings.Size || m.Lead < 0 || m.Lead >= s.settings.Copies {
+		return fmt.Errorf("copies: invalid mark of region %d with lead %d: the extent has %d copies of %d bytes", m.Region, m.Lead, s.settings.Copies, s.settings.Size)
 	}
-	r := s.at(m.Region)
-	r.lead, r.kept = m.Lead, true
-	lo, hi := s.bounds(m.Region)
-	for copy := range s.set.Copies {
+	r := s.ensureRegion(m.Region)
+	r.lead, r.marked = m.Lead, true
+	lo, hi := s.regionBounds(m.Region)
+	for copy := range s.settings.Copies {
 		if copy != m.Lead {
-			s.miss(r, copy, lo, hi)
+			s.setStale(r, copy, lo, hi)
 		}
 	}
 	return nil
 }
 
-func (s *Set) bounds(n int64) (from, to int64) {
-	return n * s.set.Region, min((n+1)*s.set.Region, s.set.Size)
+func (s *Set) regionBounds(n int64) (from, to int64) {
+	return n * s.settings.Region, min((n+1)*s.settings.Region, s.settings.Size)
 }
 
-// at is a region's entry, made where there is none.
-func (s *Set) at(n int64) *region {
+// ensureRegion returns the entry of a region and creates it if there is none.
+func (s *Set) ensureRegion(n int64) *region {
 	if r, ok := s.regions.Get(n); ok {
 		return r
 	}
-	r := &region{n: n}
+	r := &region{index: n}
 	s.regions.Set(n, r)
 	return r
 }
 
-// span calls f for each region of some bytes, with nil for those that are plainly whole.
-func (s *Set) span(from, to int64, f func(n int64, r *region)) {
-	for n := from / s.set.Region; n*s.set.Region < to; n++ {
+// forEachRegion calls f for each region of the bytes [from, to), with a nil r for regions without an entry.
+func (s *Set) forEachRegion(from, to int64, f func(n int64, r *region)) {
+	for n := from / s.settings.Region; n*s.settings.Region < to; n++ {
 		r, _ := s.regions.Get(n)
 		f(n, r)
 	}
 }
 
-func (c *Change) in(lo, hi int64) bool { return c.From < hi && lo < c.To }
+func (c *Change) overlaps(lo, hi int64) bool { return c.From < hi && lo < c.To }
 
 // ---- changes ----
 
-// Need gives the copies that a change of some bytes goes to, if they can be reached: one that is stale all over those
-// bytes will be given them when it is caught up.
+// Need returns the copies that a change of the bytes [from, to) is sent to if they can be reached. If the change lies
+// in one region, copies that are stale there are left out, unless they are being caught up: they get the change when
+// they are caught up.
 func (s *Set) Need(from, to int64) (need Mask) {
-	s.span(from, to, func(_ int64, r *region) {
-		need |= all(s.set.Copies)
-		if r != nil && r.n == from/s.set.Region && r.n == (to-1)/s.set.Region {
-			need = all(s.set.Copies)&^r.stale | r.filling
+	s.forEachRegion(from, to, func(_ int64, r *region) {
+		need |= allCopies(s.settings.Copies)
+		if r != nil && r.index == from/s.settings.Region && r.index == (to-1)/s.settings.Region {
+			need = allCopies(s.settings.Copies)&^r.stale | r.catchingUp
 		}
 	})
 	return need
 }
 
-// Begin takes a change. Ready are the copies that can be reached and may be sent to.
+// Begin accepts or refuses a change. Ready are the copies that can be reached and may be sent to.
 func (s *Set) Begin(now logic.Micros, c *Change, ready Mask) {
 	c.Sent = s.Need(c.From, c.To) & ready
-	c.patience = min(now+logic.Micros(leadPart*float64(c.Aim)), c.By)
-	whole := ready
-	s.span(c.From, c.To, func(_ int64, r *region) {
+	c.leadWaitUntil = min(now+logic.Micros(leadWaitShare*float64(c.Aim)), c.By)
+	upToDate := ready
+	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
 		if r != nil {
-			whole &^= r.stale
+			upToDate &^= r.stale
 		}
 	})
-	// Refused here, nothing was done; sent to too few, it would surely fail and leave copies that differ.
-	if whole.Len() < s.set.Hold {
+	// A refusal here has no effect. Sent to too few copies, the change would certainly fail and leave copies that
+	// differ.
+	if upToDate.Len() < s.settings.Hold {
 		s.Tally.Refused++
-		c.Wait = again
+		c.Wait = retryAfter
 		s.answer(c, Refused)
-		s.next = c.From / s.set.Region // what is wanted is caught up first
+		s.nextScan = c.From / s.settings.Region // catch up the regions in demand first
 		return
 	}
 	s.seq++
 	c.seq = s.seq
-	s.live = append(s.live, c)
-	s.span(c.From, c.To, func(n int64, _ *region) {
-		r := s.at(n)
-		r.live++
-		if !r.kept {
-			c.waits++
-			r.waiting = append(r.waiting, c)
-			s.keep(r, r.lead)
+	s.active = append(s.active, c)
+	s.forEachRegion(c.From, c.To, func(n int64, _ *region) {
+		r := s.ensureRegion(n)
+		r.numActive++
+		if !r.marked {
+			c.pendingMarks++
+			r.waitingChanges = append(r.waitingChanges, c)
+			s.persistMark(r, r.lead)
 		}
 	})
-	s.launch(now, c)
+	s.sendWhenMarked(now, c)
 }
 
-// keep asks for a region's mark to be kept with a lead. One at a time is on its way for each region.
-func (s *Set) keep(r *region, lead int) {
-	if !r.keeping {
-		r.keeping, r.want = true, lead
+// persistMark requests that a region's mark with the given lead is written. Each region has at most one mark being
+// written.
+func (s *Set) persistMark(r *region, lead int) {
+	if !r.persisting {
+		r.persisting, r.pendingLead = true, lead
 		s.Tally.Marks++
-		s.emit(Output{Kind: Keep, Mark: Mark{r.n, lead}})
+		s.emit(Output{Kind: Keep, Mark: Mark{r.index, lead}})
 	}
 }
 
-// launch sends a change once its marks are kept.
-func (s *Set) launch(now logic.Micros, c *Change) {
+// sendWhenMarked sends a change once all its marks are on stable storage, or refuses it if one of them failed.
+func (s *Set) sendWhenMarked(now logic.Micros, c *Change) {
 	switch {
-	case c.waits > 0 || c.sent || c.answered:
-	case c.unkept:
-		c.Wait = again
+	case c.pendingMarks > 0 || c.sent || c.answered:
+	case c.markFailed:
+		c.Wait = retryAfter
 		s.answer(c, Refused)
-		s.settle(now, c)
+		s.finishIfDone(now, c)
 	default:
 		c.sent = true
 		s.emit(Output{Kind: Send, Change: c})
 	}
 }
 
-// Kept says that a mark is on stable storage, or that this cannot be told.
+// Kept reports that a mark is on stable storage, or, if ok is false, that this is not certain.
 func (s *Set) Kept(now logic.Micros, m Mark, ok bool) {
-	r, there := s.regions.Get(m.Region)
-	if !there || !r.keeping || r.want != m.Lead {
+	r, found := s.regions.Get(m.Region)
+	if !found || !r.persisting || r.pendingLead != m.Lead {
 		return
 	}
-	r.keeping = false
-	// Where it cannot be told, either lead may stand there; nothing is answered until one surely does, see judge.
-	r.kept = ok
+	r.persisting = false
+	// If it is not certain, stable storage may name either lead. Nothing is answered until it certainly names one of
+	// them, see evaluate.
+	r.marked = ok
 	if !ok {
-		s.unkept, s.retryAt = append(s.unkept, r.n), now+retry
+		s.failedMarks, s.markRetryAt = append(s.failedMarks, r.index), now+markRetryInterval
 	}
 	if ok && r.lead != m.Lead {
-		s.moved(r, m.Lead)
-	}
-	r.upset = false
-	waiting := r.waiting
-	r.waiting = nil
-	for _, c := range waiting {
-		c.waits--
-		c.unkept = c.unkept || !ok
-		s.launch(now, c)
-	}
-	lo, hi := s.bounds(r.n)
-	for _, c := range slices.Clone(s.live) {
-		if c.in(lo, hi) {
-			s.judge(now, c)
-			s.settle(now, c)
+		s.applyLeadMove(r, m.Lead)
+	}
+	r.leadsDiffer = false
+	waitingChanges := r.waitingChanges
+	r.waitingChanges = nil
+	for _, c := range waitingChanges {
+		c.pendingMarks--
+		c.markFailed = c.markFailed || !ok
+		s.sendWhenMarked(now, c)
+	}
+	lo, hi := s.regionBounds(r.index)
+	for _, c := range slices.Clone(s.active) {
+		if c.overlaps(lo, hi) {
+			s.evaluate(now, c)
+			s.finishIfDone(now, c)
 		}
 	}
 }
 
-// moved makes a copy lead. What it lacks then was answered to nobody as served: judge and move see to that.
-func (s *Set) moved(r *region, lead int) {
+// applyLeadMove makes a copy the lead. Any change that it does not hold has not been answered as served: evaluate and
+// moveLead ensure that.
+func (s *Set) applyLeadMove(r *region, lead int) {
 	s.Tally.Moves++
-	lo, hi := s.bounds(r.n)
-	for copy := range s.set.Copies {
-		if copy == r.lead || r.upset && copy != lead {
-			s.miss(r, copy, lo, hi)
+	lo, hi := s.regionBounds(r.index)
+	for copy := range s.settings.Copies {
+		if copy == r.lead || r.leadsDiffer && copy != lead {
+			s.setStale(r, copy, lo, hi)
 		}
 	}
-	s.heal(r, lead)
+	s.setUpToDate(r, lead)
 	r.lead = lead
 }
 
-// Ended says how a change ended at a copy; ran where it may have run there without being held surely.
+// Ended reports that a change ended at a copy: held if the copy certainly holds it, ran if it may have run there
+// without that certainty.
 func (s *Set) Ended(now logic.Micros, c *Change, copy int, held, ran bool) {
 	if c.Over.Has(copy) || !c.Sent.Has(copy) {
 		return
@@ -382,65 +390,66 @@
 		c.Held |= Of(copy)
 	}
 	if ran {
-		c.ran |= Of(copy)
-	}
-	s.judge(now, c)
-	s.settle(now, c)
-	for _, o := range slices.Clone(s.live) { // one that waits for a lead to move, which what ended now may have been in the way of
-		if !o.answered && o != c && o.Held != 0 && (o.Over == o.Sent || o.patience == 0) && o.in(c.From-s.set.Region, c.To+s.set.Region) {
-			s.judge(now, o)
-			s.settle(now, o)
+		c.mayHaveRun |= Of(copy)
+	}
+	s.evaluate(now, c)
+	s.finishIfDone(now, c)
+	for _, o := range slices.Clone(s.active) { // the change that ended may have prevented a move of the lead that o waits for
+		if !o.answered && o != c && o.Held != 0 && (o.Over == o.Sent || o.leadWaitUntil == 0) && o.overlaps(c.From-s.settings.Region, c.To+s.settings.Region) {
+			s.evaluate(now, o)
+			s.finishIfDone(now, o)
 		}
 	}
 }
 
-// Gone says that a change's client has left. What was not sent is forgotten; the rest goes on, so that the copies stay
-// the same, and only its answer is not wanted.
+// Gone reports that the client of a change has left. A change that was not sent yet is dropped. Any other goes on, so
+// that the copies stay identical; the caller discards its answer.
 func (s *Set) Gone(now logic.Micros, c *Change) {
 	if !c.sent && !c.answered {
 		s.answer(c, Refused)
-		s.settle(now, c)
+		s.finishIfDone(now, c)
 	}
 }
 
-// Late lets time pass: leads that are waited for in vain, answers that are due, marks that are not needed any more.
+// Late handles timeouts: leads awaited for too long, deadlines of answers, failed marks to retry and marks that are no
+// longer needed.
 func (s *Set) Late(now logic.Micros) {
-	for _, c := range slices.Clone(s.live) {
+	for _, c := range slices.Clone(s.active) {
 		switch {
 		case c.answered:
 		case c.By <= now && c.sent:
 			s.answer(c, Failed)
-			s.settle(now, c)
+			s.finishIfDone(now, c)
 		case c.By <= now:
 			s.answer(c, Refused)
-			s.settle(now, c)
-		case c.patience > 0 && c.patience <= now:
-			c.patience = 0
-			s.judge(now, c)
+			s.finishIfDone(now, c)
+		case c.leadWaitUntil > 0 && c.leadWaitUntil <= now:
+			c.leadWaitUntil = 0
+			s.evaluate(now, c)
 		}
 	}
-	if len(s.unkept) > 0 && s.retryAt <= now {
-		for _, n := range s.unkept {
-			if r, there := s.regions.Get(n); there && !r.kept && (r.live > 0 || r.stale != 0) {
-				s.keep(r, r.lead)
+	if len(s.failedMarks) > 0 && s.markRetryAt <= now {
+		for _, n := range s.failedMarks {
+			if r, found := s.regions.Get(n); found && !r.marked && (r.numActive > 0 || r.stale != 0) {
+				s.persistMark(r, r.lead)
 			}
 		}
-		s.unkept = nil
+		s.failedMarks = nil
 	}
-	for len(s.idle) > 0 && s.idle[0].at+quiet <= now {
-		n := s.idle[0].n
-		s.idle = s.idle[1:]
-		r, there := s.regions.Get(n)
-		if !there {
+	for len(s.idleRegions) > 0 && s.idleRegions[0].since+markIdleTime <= now {
+		n := s.idleRegions[0].index
+		s.idleRegions = s.idleRegions[1:]
+		r, found := s.regions.Get(n)
+		if !found {
 			continue
 		}
-		r.listed = false
+		r.inIdleList = false
 		switch {
-		case r.live > 0 || r.stale != 0: // it is listed again when that is over
-		case r.keeping:
-			s.list(r, now)
-		case r.changed+quiet > now:
-			s.list(r, r.changed)
+		case r.numActive > 0 || r.stale != 0: // finishIfDone or Filled adds it again
+		case r.persisting:
+			s.addIdle(r, now)
+		case r.lastChange+markIdleTime > now:
+			s.addIdle(r, r.lastChange)
 		default:
 			s.regions.Delete(n)
 			s.Tally.Forgotten++
@@ -449,91 +458,93 @@
 	}
 }
 
-// list notes a region that has had no changes and no stale copy since a time.
-func (s *Set) list(r *region, at logic.Micros) {
-	if r.live == 0 && r.stale == 0 && !r.listed {
-		r.listed = true
-		s.idle = append(s.idle, idle{r.n, at})
+// addIdle adds a region to the idle list if it has no changes and no stale copy, with the time since when.
+func (s *Set) addIdle(r *region, at logic.Micros) {
+	if r.numActive == 0 && r.stale == 0 && !r.inIdleList {
+		r.inIdleList = true
+		s.idleRegions = append(s.idleRegions, idleRegion{r.index, at})
 	}
 }
 
-// Next is when Late must be called at the latest; 0: never.
+// Next returns the latest time for the next call of Late; 0: no call is needed.
 func (s *Set) Next() (at logic.Micros) {
-	soon := func(t logic.Micros) {
+	consider := func(t logic.Micros) {
 		if at == 0 || t < at {
 			at = max(t, 1)
 		}
 	}
-	for _, c := range s.live {
+	for _, c := range s.active {
 		if !c.answered {
-			soon(c.By)
-			if c.patience > 0 {
-				soon(c.patience)
+			consider(c.By)
+			if c.leadWaitUntil > 0 {
+				consider(c.leadWaitUntil)
 			}
 		}
 	}
-	if len(s.unkept) > 0 {
-		soon(s.retryAt)
+	if len(s.failedMarks) > 0 {
+		consider(s.markRetryAt)
 	}
-	if len(s.idle) > 0 {
-		soon(s.idle[0].at + quiet)
+	if len(s.idleRegions) > 0 {
+		consider(s.idleRegions[0].since + markIdleTime)
 	}
 	return at
 }
 
-// judge finds out whether a change can be answered.
-func (s *Set) judge(now logic.Micros, c *Change) {
+// evaluate answers a change if its result is settled, and moves leads that do not hold it if others do.
+func (s *Set) evaluate(now logic.Micros, c *Change) {
 	if c.answered || !c.sent {
 		return
 	}
-	whole, leads := all(s.set.Copies), Mask(0)
-	led, sure := true, true
-	s.span(c.From, c.To, func(_ int64, r *region) {
-		whole &^= r.stale
+	upToDate, leads := allCopies(s.settings.Copies), Mask(0)
+	heldByLeads, leadsSettled := true, true
+	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
+		upToDate &^= r.stale
 		leads |= Of(r.lead)
-		led = led && c.Held.Has(r.lead)
-		// While a lead moves, what is answered must be held by both, as either may lead after a crash.
-		sure = sure && r.kept && (!r.keeping || c.Held.Has(r.want))
+		heldByLeads = heldByLeads && c.Held.Has(r.lead)
+		// While a lead moves, an answered change must be held by both leads: either may lead after a crash.
+		leadsSettled = leadsSettled && r.marked && (!r.persisting || c.Held.Has(r.pendingLead))
 	})
-	enough := (c.Held & whole).Len() >= s.set.Hold
-	over := c.Over == c.Sent
+	enough := (c.Held & upToDate).Len() >= s.settings.Hold
+	allEnded := c.Over == c.Sent
 	switch {
-	case enough && led:
-		if sure {
+	case enough && heldByLeads:
+		if leadsSettled {
 			s.answer(c, Served)
 		}
-	case c.Held&whole != 0 && (over || enough && (leads&c.Sent&^c.Over == 0 || c.patience <= now)):
-		// The leads have ended without it, or are waited for no longer. Also where too few hold it: the lead's content is
-		// not known then, and that of a copy that holds it is.
-		if !s.move(c, c.Held&whole) && over {
+	case c.Held&upToDate != 0 && (allEnded || enough && (leads&c.Sent&^c.Over == 0 || c.leadWaitUntil <= now)):
+		// The change has ended at the leads without being held there, or they are no longer awaited. The lead also
+		// moves if too few copies hold the change: the content of the old lead is unknown then, that of a holding copy
+		// is known.
+		if !s.moveLead(c, c.Held&upToDate) && allEnded {
 			s.answer(c, Failed)
 		}
-	case !over:
-	case c.ran|c.Held == 0:
+	case !allEnded:
+	case c.mayHaveRun|c.Held == 0:
 		s.answer(c, Refused)
 	default:
 		s.answer(c, Failed)
 	}
 }
 
-// move lets a copy lead that holds the change where the lead does not. It must hold as well whatever was answered and
-// is not over: that may have been on the word of the old lead. It tells whether a move is on its way.
-func (s *Set) move(c *Change, to Mask) (moving bool) {
-	s.span(c.From, c.To, func(_ int64, r *region) {
+// moveLead moves the lead of each region whose lead does not hold the change to one of the copies in to. The new lead
+// must also hold all changes that were answered as served and have not ended everywhere, because the old lead may have
+// been counted for them. It reports whether a mark of such a region is being written.
+func (s *Set) moveLead(c *Change, to Mask) (moving bool) {
+	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
 		if c.Held.Has(r.lead) {
 			return
 		}
-		lo, hi := s.bounds(r.n)
-		can := to
-		for _, o := range s.live {
-			if o.answered && o.Verdict == Served && o.in(lo, hi) {
-				can &= o.Held
+		lo, hi := s.regionBounds(r.index)
+		eligible := to
+		for _, o := range s.active {
+			if o.answered && o.Verdict == Served && o.overlaps(lo, hi) {
+				eligible &= o.Held
 			}
 		}
-		if can != 0 && r.kept {
-			s.keep(r, can.First())
+		if eligible != 0 && r.marked {
+			s.persistMark(r, eligible.First())
 		}
-		moving = moving || r.keeping
+		moving = moving || r.persisting
 	})
 	return moving
 }
@@ -545,87 +556,87 @@
 	s.emit(Output{Kind: Answer, Change: c})
 }
 
-// settle notes what copies have missed of a change, and forgets it when it is done.
-func (s *Set) settle(now logic.Micros, c *Change) {
-	i := slices.Index(s.live, c)
+// finishIfDone removes a change that is done and records which copies have missed it.
+func (s *Set) finishIfDone(now logic.Micros, c *Change) {
+	i := slices.Index(s.active, c)
 	if !c.Done() || i < 0 {
 		return
 	}
-	s.live = slices.Delete(s.live, i, i+1)
-	s.span(c.From, c.To, func(_ int64, r *region) {
-		r.live--
-		r.changed = now
-		defer s.list(r, now)
-		if c.ran|c.Held == 0 {
-			return // it ran nowhere
+	s.active = slices.Delete(s.active, i, i+1)
+	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
+		r.numActive--
+		r.lastChange = now
+		defer s.addIdle(r, now)
+		if c.mayHaveRun|c.Held == 0 {
+			return // it ran at no copy
 		}
-		r.upset = r.upset || r.keeping && (!c.Held.Has(r.lead) || !c.Held.Has(r.want))
-		for copy := range s.set.Copies {
+		r.leadsDiffer = r.leadsDiffer || r.persisting && (!c.Held.Has(r.lead) || !c.Held.Has(r.pendingLead))
+		for copy := range s.settings.Copies {
 			switch {
 			case copy == r.lead || c.Held.Has(copy) && c.Held.Has(r.lead):
-			case !c.Sent.Has(copy) && c.seq <= r.after[copy]: // it was over at the source when that was read
+			case !c.Sent.Has(copy) && c.seq <= r.fillSeq[copy]: // it had ended at the source before the fill read it
 			default:
-				s.miss(r, copy, c.From, c.To)
+				s.setStale(r, copy, c.From, c.To)
 			}
 		}
 	})
 }
 
-// miss notes that a copy of a region does not surely hold some bytes as its lead does.
-func (s *Set) miss(r *region, copy int, from, to int64) {
-	lo, hi := s.bounds(r.n)
+// setStale records that a copy of a region is not certain to hold the same bytes [from, to) as its lead.
+func (s *Set) setStale(r *region, copy int, from, to int64) {
+	lo, hi := s.regionBounds(r.index)
 	from, to = max(from, lo), min(to, hi)
 	s.Tally.Missed++
 	if r.stale == 0 {
-		s.stale++
+		s.numStaleRegions++
 	}
 	if !r.stale.Has(copy) {
 		r.stale |= Of(copy)
-		s.missing[copy]++
-		r.from[copy], r.to[copy] = from, to
+		s.numStaleByCopy[copy]++
+		r.missedFrom[copy], r.missedTo[copy] = from, to
 		return
 	}
-	r.from[copy], r.to[copy] = min(r.from[copy], from), max(r.to[copy], to)
+	r.missedFrom[copy], r.missedTo[copy] = min(r.missedFrom[copy], from), max(r.missedTo[copy], to)
 }
 
-// heal notes that a copy of a region holds what its lead does.
-func (s *Set) heal(r *region, copy int) {
+// setUpToDate records that a copy of a region holds the same bytes as its lead.
+func (s *Set) setUpToDate(r *region, copy int) {
 	if !r.stale.Has(copy) {
 		return
 	}
 	r.stale &^= Of(copy)
-	s.missing[copy]--
+	s.numStaleByCopy[copy]--
 	if r.stale == 0 {
-		s.stale--
+		s.numStaleRegions--
 	}
 }
 
 // ---- reads ----
 
-// Readable gives the copies from which bytes may be read from a place on, and up to where that set holds, at most to.
-// Copies that are stale are not in it; where a change is on its way only the lead is, as others may be behind or ahead
-// of what was read before.
+// Readable returns the copies from which the bytes [from, end) may be read; end is at most to. Stale copies are not in
+// the set. While a change is in flight only the lead is, because the others may be behind or ahead of what was read
+// before.
 func (s *Set) Readable(from, to int64) (m Mask, end int64) {
-	m, end = all(s.set.Copies), to
+	m, end = allCopies(s.settings.Copies), to
 	if s.regions.Len() == 0 {
 		return m, end
 	}
 	first := true
-	s.span(from, to, func(n int64, r *region) {
-		lo, hi := s.bounds(n)
-		here := all(s.set.Copies)
+	s.forEachRegion(from, to, func(n int64, r *region) {
+		lo, hi := s.regionBounds(n)
+		regionCopies := allCopies(s.settings.Copies)
 		if r != nil {
-			here &^= r.stale
-			for _, c := range s.live {
-				if r.live > 0 && c.in(max(lo, from), min(hi, to)) {
-					here = Of(r.lead)
+			regionCopies &^= r.stale
+			for _, c := range s.active {
+				if r.numActive > 0 && c.overlaps(max(lo, from), min(hi, to)) {
+					regionCopies = Of(r.lead)
 				}
 			}
 		}
-		switch both := m & here; {
+		switch common := m & regionCopies; {
 		case lo >= end:
-		case first || both != 0:
-			m = both
+		case first || common != 0:
+			m = common
 		default:
 			end = lo
 		}
@@ -634,16 +645,17 @@
 	return m, end
 }
 
-// Seen is what is known of a copy when a read is to go somewhere.
+// Seen is the state of a copy that is used to choose where a read goes.
 type Seen struct {
 	Home  bool
-	Ready bool         // a node that takes work holds it
-	Takes logic.Micros // until an answer could be had from there, by the news of its nodes
+	Ready bool         // a node that accepts work serves it
+	Takes logic.Micros // expected time to an answer, by the reports of its nodes
 }
 
-// choose finds the copy that a read goes to, of those it may be read from: one at home as long as it can answer within
-// the aim, then one elsewhere that can, then the soonest. Home is the best one at home, below zero where there is none.
-func choose(m Mask, seen []Seen, aim logic.Micros) (copy, home int) {
+// chooseCopy chooses the copy in m that a read goes to: a ready one in the home zone if it can answer within the aim,
+// else one in another zone that can, or that takes less than half the time; else the one at home. Home is the fastest
+// ready copy in the home zone, or -1 if there is none.
+func chooseCopy(m Mask, seen []Seen, aim logic.Micros) (copy, home int) {
 	best := func(ok func(x *Seen) bool) int {
 		at := -1
 		for i := range seen {
@@ -660,31 +672,32 @@
 	away := best(func(x *Seen) bool { return !x.Home })
 	switch {
 	case away < 0 && home < 0:
-		return m.First(), -1 // nowhere; it will be refused there with advice
+		return m.First(), -1 // none is ready; the read is refused there with a retry delay
 	case away >= 0 && (home < 0 || seen[away].Takes <= aim || seen[away].Takes < seen[home].Takes/2):
 		return away, home
 	}
 	return home, home
 }
 
-// Read is a read on its way to one of the copies.
+// Read is a read that goes to one of the copies.
 type Read struct {
 	Aim, By logic.Micros
-	Most    int // attempts that it may have; 0: no bound
+	Most    int // maximum number of attempts; 0: no limit
 
-	At     int  // the copy that it goes to
-	Spills bool // bytes cross although a copy lies at home
-	Once   bool // it may go to another copy yet: at this one it is given up early
+	At     int  // copy that it goes to
+	Spills bool // bytes cross zones although there is a copy in the home zone
+	Once   bool // another copy is left to try: the read is given up early at this one
 	tried  Mask
 }
 
-// Ask asks whoever bounds what crosses for a read at a copy; wait is when to come back.
+// Ask requests admission of a read at a copy from the budget for bytes between zones; wait is the retry delay of a
+// refusal.
 type Ask func(copy int) (wait logic.Micros, ok bool)
 
-// First finds the copy that a read goes to, of those it may be read from. A spill that may not cross goes to the best copy
-// at home. Where it is refused At is the copy that it may not go to.
+// First chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home. If
+// the read is refused, At is the copy that it may not go to.
 func (r *Read) First(m Mask, seen []Seen, ask Ask) (wait logic.Micros, ok bool) {
-	copy, home := choose(m, seen, r.Aim)
+	copy, home := chooseCopy(m, seen, r.Aim)
 	wait, ok = ask(copy)
 	if !ok && home >= 0 && copy != home {
 		copy, ok = home, true
@@ -695,29 +708,30 @@
 		r.Once = r.Once || i != copy && (m&^r.tried).Has(i) && seen[i].Ready
 	}
 	if !ok {
-		r.tried |= m // there is no better one
+		r.tried |= m // no retry after a refusal
 	}
 	return wait, ok
 }
 
-// Again tells whether a read that was not served where it went goes on, as the same request, after so many attempts; then
-// At is where. One that was given up early for the sake of a copy that it may not go to stays, if need be late.
+// Again reports whether a read that was not served at a copy is retried as the same request, after the given number of
+// tries; if so, At is the copy. A read that was given up early in favour of a copy that it may not go to stays at its
+// copy and may be late.
 func (r *Read) Again(now logic.Micros, m Mask, seen []Seen, tries int, ask Ask) bool {
 	if m &^= r.tried; m == 0 || now >= r.By || r.Most > 0 && tries >= r.Most {
 		return false
 	}
-	was := *r
+	previous := *r
 	if _, ok := r.First(m, seen, ask); ok && seen[r.At].Ready {
-		r.Spills = r.Spills || seen[was.At].Home
+		r.Spills = r.Spills || seen[previous.At].Home
 		return true
 	}
-	r.At, r.Spills, r.Once = was.At, was.Spills, false
-	return was.Once && seen[was.At].Ready
+	r.At, r.Spills, r.Once = previous.At, previous.Spills, false
+	return previous.Once && seen[previous.At].Ready
 }
 
 // ---- catching up ----
 
-// Fill is a run of bytes that a copy is to be given from the lead.
+// Fill is a range of bytes to be copied from the lead, Source, to a stale copy, Target.
 type Fill struct {
 	From, To int64
 	Source   int
@@ -725,99 +739,99 @@
 	region   int64
 }
 
-// Stale tells how many regions have a stale copy.
-func (s *Set) Stale() int { return s.stale }
+// Stale returns the number of regions with a stale copy.
+func (s *Set) Stale() int { return s.numStaleRegions }
 
-// Whole tells whether a copy is whole all over.
-func (s *Set) Whole(copy int) bool { return s.missing[copy] == 0 }
+// Whole reports whether a copy is up to date in all regions.
+func (s *Set) Whole(copy int) bool { return s.numStaleByCopy[copy] == 0 }
 
-// Fill gives the next run to be caught up between copies that can be reached; wait is when to ask
-// again where there is none now, 0 where nothing is stale. From here on changes go to its target too, and whoever
-// carries it out orders it among the changes at both copies.
+// Fill returns the next range to catch up between copies that can be reached. If there is none now, wait is the time
+// until the next call, or 0 if nothing is stale. From this call on changes are sent to the target too, and the caller
+// must order the fill among the changes at both copies.
 func (s *Set) Fill(now logic.Micros, ready Mask) (f Fill, ok bool, wait logic.Micros) {
-	if s.stale == 0 {
+	if s.numStaleRegions == 0 {
 		return f, false, 0
 	}
-	var can Mask // may be given something now
-	wait = lookAgain
-	for copy := range s.set.Copies {
-		switch rest := s.until[copy] - now; {
-		case s.missing[copy] == 0 || !ready.Has(copy):
-		case rest > 0:
-			wait = min(wait, rest)
+	var targets Mask // copies that can be caught up now
+	wait = catchUpPollInterval
+	for copy := range s.settings.Copies {
+		switch remaining := s.catchUpNotBefore[copy] - now; {
+		case s.numStaleByCopy[copy] == 0 || !ready.Has(copy):
+		case remaining > 0:
+			wait = min(wait, remaining)
 		default:
-			can |= Of(copy)
+			targets |= Of(copy)
 		}
 	}
-	if can == 0 {
+	if targets == 0 {
 		return f, false, wait
 	}
-	looked := 0
-	look := func(n int64, r *region) bool {
-		looked++
-		s.next = n + 1
-		// One whose lead is about to move waits: it would be given what the old one holds.
-		if to := r.stale & can; to != 0 && r.filling == 0 && ready.Has(r.lead) && r.kept && !r.keeping {
-			f, ok = s.fill(r, to.First()), true
+	scanned := 0
+	visit := func(n int64, r *region) bool {
+		scanned++
+		s.nextScan = n + 1
+		// A region whose lead is about to move waits: the copy would get the content of the old lead.
+		if to := r.stale & targets; to != 0 && r.catchingUp == 0 && ready.Has(r.lead) && r.marked && !r.persisting {
+			f, ok = s.startFill(r, to.First()), true
 		}
-		return !ok && looked < mostLooked
+		return !ok && scanned < maxRegionsScanned
 	}
-	from := s.next
-	if s.regions.Ascend(from, look); !ok && looked < mostLooked && from > 0 {
-		s.regions.Ascend(0, func(n int64, r *region) bool { return n < from && look(n, r) })
+	from := s.nextScan
+	if s.regions.Ascend(from, visit); !ok && scanned < maxRegionsScanned && from > 0 {
+		s.regions.Ascend(0, func(n int64, r *region) bool { return n < from && visit(n, r) })
 	}
-	if !ok && looked == mostLooked {
-		wait = breath // there are others
+	if !ok && scanned == maxRegionsScanned {
+		wait = scanPause // there are regions that were not scanned
 	}
 	return f, ok, wait
 }
 
-func (s *Set) fill(r *region, copy int) Fill {
-	from, to := r.from[copy], r.to[copy]
-	lo, hi := s.bounds(r.n)
-	for _, c := range s.live {
+func (s *Set) startFill(r *region, copy int) Fill {
+	from, to := r.missedFrom[copy], r.missedTo[copy]
+	lo, hi := s.regionBounds(r.index)
+	for _, c := range s.active {
 		switch {
-		case !c.in(lo, hi) || c.Sent.Has(copy):
-		case c.sent: // on its way to the source, where it will be over before that is read
+		case !c.overlaps(lo, hi) || c.Sent.Has(copy):
+		case c.sent: // in flight to the source, where it ends before the fill reads it
 			from, to = min(from, max(c.From, lo)), max(to, min(c.To, hi))
 		case !c.answered:
 			c.Sent |= Of(copy)
 		}
 	}
-	r.after[copy] = s.seq
-	r.filling |= Of(copy)
-	r.from[copy], r.to[copy] = hi, lo // nothing: what is missed from here on
-	return Fill{From: from, To: to, Source: r.lead, Target: copy, region: r.n}
+	r.fillSeq[copy] = s.seq
+	r.catchingUp |= Of(copy)
+	r.missedFrom[copy], r.missedTo[copy] = hi, lo // empty range: records only what is missed from here on
+	return Fill{From: from, To: to, Source: r.lead, Target: copy, region: r.index}
 }
 
-// Filled says how catching up ended: done where the target surely holds what the source held. Rest is the advice of
-// whoever refused it, 0 where there is none.
-func (s *Set) Filled(now logic.Micros, f Fill, done bool, rest logic.Micros) {
-	r, there := s.regions.Get(f.region)
-	if !there || !r.filling.Has(f.Target) {
+// Filled reports the end of a fill: done if the target certainly holds what the source held. RetryDelay is the one that
+// a refusal named, 0 if none.
+func (s *Set) Filled(now logic.Micros, f Fill, done bool, retryDelay logic.Micros) {
+	r, found := s.regions.Get(f.region)
+	if !found || !r.catchingUp.Has(f.Target) {
 		return
 	}
-	r.filling &^= Of(f.Target)
-	if !done || r.lead != f.Source || r.keeping && r.want != f.Source {
-		// Also what was on its way to the source, and was not sent to the target for that.
-		r.from[f.Target], r.to[f.Target] = s.bounds(r.n)
-		if rest == 0 {
-			s.pause[f.Target] = min(max(2*s.pause[f.Target], firstPause), mostPause)
-			rest = s.pause[f.Target]
+	r.catchingUp &^= Of(f.Target)
+	if !done || r.lead != f.Source || r.persisting && r.pendingLead != f.Source {
+		// The whole region: changes in flight to the source were not sent to the target because of the fill.
+		r.missedFrom[f.Target], r.missedTo[f.Target] = s.regionBounds(r.index)
+		if retryDelay == 0 {
+			s.catchUpBackoff[f.Target] = min(max(2*s.catchUpBackoff[f.Target], minCatchUpBackoff), maxCatchUpBackoff)
+			retryDelay = s.catchUpBackoff[f.Target]
 		}
-		s.until[f.Target] = now + min(rest, mostPause)
+		s.catchUpNotBefore[f.Target] = now + min(retryDelay, maxCatchUpBackoff)
 		return
 	}
-	s.pause[f.Target] = 0
+	s.catchUpBackoff[f.Target] = 0
 	s.Tally.Caught++
 	s.Tally.CaughtBytes += uint64(f.To - f.From)
-	if r.from[f.Target] < r.to[f.Target] {
-		return // something was missed meanwhile
+	if r.missedFrom[f.Target] < r.missedTo[f.Target] {
+		return // the copy missed a change during the fill
 	}
-	s.heal(r, f.Target)
-	r.changed = now
-	s.list(r, now)
+	s.setUpToDate(r, f.Target)
+	r.lastChange = now
+	s.addIdle(r, now)
 }
 
-// Idle tells that nothing is known of the extent but that all its copies are whole.
-func (s *Set) Idle() bool { return s.regions.Len() == 0 && len(s.live) == 0 && len(s.out) == 0 }
+// Idle reports whether the set holds no state: all copies are up to date and there is nothing to do.
+func (s *Set) Idle() bool { return s.regions.Len() == 0 && len(s.active) == 0 && len(s.outputs) == 0 }
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -10,74 +10,74 @@
 	"pgregory.net/rapid"
 )
 
-func run(t testing.TB, s Settings) *bench {
+func newHarness(t testing.TB, s Settings) *harness {
 	set, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &bench{t: t, Set: set, now: sec, marks: map[int64]int{}}
+	return &harness{t: t, Set: set, now: sec, marks: map[int64]int{}}
 }
 
-// bench carries out what a set wants at once: marks are kept, sends wait for the test to end them.
-type bench struct {
+// harness carries out the outputs of a set immediately: it writes marks, and collects sends for the test to end.
+type harness struct {
 	t testing.TB
 	*Set
-	now      logic.Micros
-	marks    map[int64]int
-	broken   bool // marks cannot be kept
-	sent     []*Change
-	answered []*Change
+	now             logic.Micros
+	marks           map[int64]int
+	marksBroken     bool // marks cannot be written
+	sentChanges     []*Change
+	answeredChanges []*Change
 }
 
-func (b *bench) work() {
+func (b *harness) process() {
 	for out := b.Out(); len(out) > 0; out = b.Out() {
 		for _, o := range out {
 			switch o.Kind {
 			case Keep:
-				if !b.broken {
+				if !b.marksBroken {
 					b.marks[o.Mark.Region] = o.Mark.Lead
 				}
-				b.Kept(b.now, o.Mark, !b.broken)
+				b.Kept(b.now, o.Mark, !b.marksBroken)
 			case Forget:
 				delete(b.marks, o.Mark.Region)
 			case Send:
-				b.sent = append(b.sent, o.Change)
+				b.sentChanges = append(b.sentChanges, o.Change)
 			case Answer:
-				b.answered = append(b.answered, o.Change)
+				b.answeredChanges = append(b.answeredChanges, o.Change)
 			}
 		}
 	}
 }
 
-func (b *bench) begin(from, to int64, ready Mask) *Change {
+func (b *harness) begin(from, to int64, ready Mask) *Change {
 	c := &Change{From: from, To: to, Aim: 200 * ms, By: b.now + sec}
 	b.Begin(b.now, c, ready)
-	b.work()
+	b.process()
 	return c
 }
 
-func (b *bench) end(c *Change, copy int, held, ran bool) {
+func (b *harness) end(c *Change, copy int, held, ran bool) {
 	b.Ended(b.now, c, copy, held, ran)
-	b.work()
+	b.process()
 }
 
-func (b *bench) readable(from, to int64) Mask { m, _ := b.Readable(from, to); return m }
+func (b *harness) readable(from, to int64) Mask { m, _ := b.Readable(from, to); return m }
 
-func (b *bench) is(c *Change, want Verdict) {
+func (b *harness) wantVerdict(c *Change, want Verdict) {
 	b.t.Helper()
-	if n := slices.Index(b.answered, c); n < 0 || c.Verdict != want {
-		b.t.Fatalf("answered %v with verdict %d, want %d", n >= 0, c.Verdict, want)
+	if n := slices.Index(b.answeredChanges, c); n < 0 || c.Verdict != want {
+		b.t.Fatalf("answered %v, verdict %d, want %d", n >= 0, c.Verdict, want)
 	}
 }
 
-// The ends of a change at two copies, and what they come to: its answer, the copies that may be read, the lead.
+// For each combination of ends of a change at two copies: its answer, the readable copies and the lead.
 func TestEnds(t *testing.T) {
-	const held, lost, refused, out = 0, 1, 2, 3 // lost: may have run
+	const held, lost, refused, out = 0, 1, 2, 3 // lost: it may have run; out: it has not ended
 	type ends [2]int
 	for _, x := range []struct {
 		hold     int
 		ends     ends
-		late     bool // the time for the leads has passed
+		late     bool // the wait for the leads has expired
 		answered bool
 		verdict  Verdict
 		readable Mask
@@ -99,10 +99,10 @@
 		{1, ends{refused, lost}, false, true, Failed, 1, 0},
 		{1, ends{refused, refused}, false, true, Refused, 3, 0},
 	} {
-		b := run(t, Settings{2, x.hold, 100, 1000})
+		b := newHarness(t, Settings{2, x.hold, 100, 1000})
 		c := b.begin(110, 120, 3)
-		if len(b.sent) != 1 || b.marks[1] != 0 || len(b.marks) != 1 {
-			t.Fatalf("%+v: sent %d, marks %v", x, len(b.sent), b.marks)
+		if len(b.sentChanges) != 1 || b.marks[1] != 0 || len(b.marks) != 1 {
+			t.Fatalf("%+v: sent %d, marks %v", x, len(b.sentChanges), b.marks)
 		}
 		for copy, e := range x.ends {
 			if e != out {
@@ -112,59 +112,59 @@
 		if x.late {
 			b.now += 200 * ms
 			b.Late(b.now)
-			b.work()
+			b.process()
 		}
-		answered := slices.Contains(b.answered, c)
+		answered := slices.Contains(b.answeredChanges, c)
 		if m := b.readable(115, 116); answered != x.answered || answered && c.Verdict != x.verdict || m != x.readable || b.marks[1] != x.lead {
 			t.Errorf("%+v: answered %v, verdict %d, readable %b, lead %d", x, answered, c.Verdict, m, b.marks[1])
 		}
 	}
 }
 
-// With too few copies that are whole and in reach nothing is sent, and a retry is harmless.
+// With too few up-to-date copies in reach nothing is sent, so that the refusal is safe to retry.
 func TestTooFew(t *testing.T) {
-	b := run(t, Settings{3, 2, 100, 1000})
+	b := newHarness(t, Settings{3, 2, 100, 1000})
 	c := b.begin(0, 10, 0b100)
-	b.is(c, Refused)
-	if len(b.sent) > 0 || len(b.marks) > 0 {
-		t.Fatalf("sent %d, marks %v", len(b.sent), b.marks)
+	b.wantVerdict(c, Refused)
+	if len(b.sentChanges) > 0 || len(b.marks) > 0 {
+		t.Fatalf("sent %d, marks %v", len(b.sentChanges), b.marks)
 	}
-	c = b.begin(0, 10, 0b110) // the lead is away: it moves, and the others carry on
+	c = b.begin(0, 10, 0b110) // the lead cannot be reached: it moves, and the change is served by the others
 	b.end(c, 1, true, false)
 	b.end(c, 2, true, false)
-	b.is(c, Served)
+	b.wantVerdict(c, Served)
 	if b.marks[0] != 1 || b.readable(0, 10) != 0b110 {
 		t.Fatalf("lead %d, readable %b", b.marks[0], b.readable(0, 10))
 	}
-	b.is(b.begin(0, 10, 0b101), Refused) // copy 0 is stale: only one whole one is in reach
+	b.wantVerdict(b.begin(0, 10, 0b101), Refused) // copy 0 is stale: only one up-to-date copy is in reach
 }
 
-// Marks that cannot be kept: a change is refused before it was sent anywhere; a lead does not move, and what depends on
-// it is not answered as served.
+// If marks cannot be written, a change is refused before it is sent anywhere. A lead does not move, and a change that
+// depends on the move is not answered as served.
 func TestMarksFail(t *testing.T) {
-	b := run(t, Settings{2, 1, 100, 1000})
-	b.broken = true
-	b.is(b.begin(0, 10, 3), Refused)
-	if len(b.sent) > 0 {
+	b := newHarness(t, Settings{2, 1, 100, 1000})
+	b.marksBroken = true
+	b.wantVerdict(b.begin(0, 10, 3), Refused)
+	if len(b.sentChanges) > 0 {
 		t.Fatal("sent without a mark")
 	}
-	b.broken = false
+	b.marksBroken = false
 	c := b.begin(0, 10, 3)
-	b.broken = true
+	b.marksBroken = true
 	b.end(c, 1, true, false)
 	b.end(c, 0, false, true)
-	b.is(c, Failed)
+	b.wantVerdict(c, Failed)
 	d := b.begin(0, 10, 3)
-	b.is(d, Refused) // where the lead stands is not known until a mark can be kept again
-	b.broken = false
+	b.wantVerdict(d, Refused) // the lead on stable storage is unknown until a mark can be written again
+	b.marksBroken = false
 	d = b.begin(0, 10, 3)
 	b.end(d, 0, true, false)
-	b.is(d, Served)
+	b.wantVerdict(d, Served)
 }
 
-// Marks go once their regions are quiet, and after a restart every marked region is as its lead has it.
+// Marks are dropped once their regions are idle. After a restart only the lead of a marked region may be read.
 func TestMarksOutlive(t *testing.T) {
-	b := run(t, Settings{2, 1, 100, 1000})
+	b := newHarness(t, Settings{2, 1, 100, 1000})
 	for i := range int64(3) {
 		c := b.begin(i*100, i*100+10, 3)
 		b.end(c, 0, true, false)
@@ -172,7 +172,7 @@
 			b.end(c, 1, i == 1, false)
 		}
 	}
-	again := run(t, Settings{2, 1, 100, 1000})
+	again := newHarness(t, Settings{2, 1, 100, 1000})
 	for n, lead := range b.marks {
 		if err := again.Remember(Mark{n, lead}); err != nil {
 			t.Fatal(err)
@@ -183,67 +183,67 @@
 	}
 	for _, m := range []Mark{{-1, 0}, {10, 0}, {0, 2}, {0, -1}} {
 		if again.Remember(m) == nil {
-			t.Errorf("mark %v was taken", m)
+			t.Errorf("invalid mark %v was accepted", m)
 		}
 	}
-	b.end(b.sent[0], 1, true, false)
+	b.end(b.sentChanges[0], 1, true, false)
 	for range 20 {
 		b.now += sec
 		b.Late(b.now)
-		b.work()
+		b.process()
 	}
-	if len(b.marks) != 1 { // the one that copy 1 has missed
-		t.Errorf("marks %v are left", b.marks)
+	if len(b.marks) != 1 { // the mark of the region that copy 1 has missed
+		t.Errorf("marks left: %v, want one", b.marks)
 	}
-	// A region that changes again and again keeps its mark.
+	// A region that changes repeatedly keeps its mark.
 	marks := b.Tally.Marks
 	for range 10 {
 		c := b.begin(900, 910, 3)
 		b.end(c, 0, true, false)
 		b.end(c, 1, true, false)
-		b.now += quiet * 3 / 5
+		b.now += markIdleTime * 3 / 5
 		b.Late(b.now)
-		b.work()
+		b.process()
 	}
 	if b.Tally.Marks != marks+1 {
-		t.Errorf("%d marks were kept for one region", b.Tally.Marks-marks)
+		t.Errorf("%d marks were written for one region, want 1", b.Tally.Marks-marks)
 	}
 }
 
-// Catching up: only what was missed, from the lead, once both are in reach; a write that is missed meanwhile keeps the
-// copy stale; failures wait longer each time, and advice is followed.
+// Only the missed bytes are caught up, from the lead, once both copies are in reach. A write that is missed during the
+// fill keeps the copy stale. The backoff grows with each failure, and the retry delay of a refusal is followed.
 func TestFill(t *testing.T) {
-	b := run(t, Settings{2, 1, 100, 1000})
+	b := newHarness(t, Settings{2, 1, 100, 1000})
 	miss := func(from, to int64) {
 		c := b.begin(from, to, 1)
 		b.end(c, 0, true, false)
-		b.is(c, Served)
+		b.wantVerdict(c, Served)
 	}
 	miss(110, 120)
 	miss(150, 160)
 	if _, ok, wait := b.Fill(b.now, 1); ok || wait == 0 {
-		t.Fatalf("%v, %v with one copy in reach", ok, wait)
+		t.Fatalf("got fill %v, wait %v with one copy in reach, want a wait", ok, wait)
 	}
 	f, ok, _ := b.Fill(b.now, 3)
 	if !ok || f.From != 110 || f.To != 160 || f.Source != 0 || f.Target != 1 {
 		t.Fatalf("%+v, %v", f, ok)
 	}
 	if _, ok, _ := b.Fill(b.now, 3); ok {
-		t.Fatal("caught up twice at once")
+		t.Fatal("a second fill of the same region started")
 	}
 	if need := b.Need(170, 180); need != 3 {
-		t.Fatalf("a change meanwhile goes to %b", need)
+		t.Fatalf("a change during the fill goes to %b, want both copies", need)
 	}
 	miss(170, 180)
 	b.Filled(b.now, f, true, 0)
 	if b.readable(110, 120) != 1 {
-		t.Fatal("read though something was missed meanwhile")
+		t.Fatal("copy 1 is readable although it missed a change during the fill")
 	}
 	if f, ok, _ = b.Fill(b.now, 3); !ok || f.From != 170 || f.To != 180 {
 		t.Fatalf("%+v, %v", f, ok)
 	}
 	b.Filled(b.now, f, false, 0)
-	for want := firstPause; want <= 400*ms; want *= 2 {
+	for want := minCatchUpBackoff; want <= 400*ms; want *= 2 {
 		if _, ok, wait := b.Fill(b.now, 3); ok || wait != want {
 			t.Fatalf("wait %v, want %v", wait, want)
 		}
@@ -253,23 +253,23 @@
 		}
 		b.Filled(b.now, f, false, 0)
 	}
-	b.now += mostPause
+	b.now += maxCatchUpBackoff
 	f, _, _ = b.Fill(b.now, 3)
-	b.Filled(b.now, f, false, 3*sec) // refused with advice
-	if _, ok, wait := b.Fill(b.now, 3); ok || wait != lookAgain {
+	b.Filled(b.now, f, false, 3*sec) // refused with a retry delay
+	if _, ok, wait := b.Fill(b.now, 3); ok || wait != catchUpPollInterval {
 		t.Fatalf("wait %v", wait)
 	}
 	b.now += 3 * sec
 	f, _, _ = b.Fill(b.now, 3)
 	b.Filled(b.now, f, true, 0)
 	if b.Stale() != 0 || !b.Whole(1) || b.readable(110, 200) != 3 {
-		t.Fatalf("%d regions are stale", b.Stale())
+		t.Fatalf("%d stale regions, want all up to date", b.Stale())
 	}
 }
 
-// Reads are split where no copy holds all.
+// A read is split where no copy may serve all of it.
 func TestReadable(t *testing.T) {
-	b := run(t, Settings{2, 1, 100, 1000})
+	b := newHarness(t, Settings{2, 1, 100, 1000})
 	c := b.begin(50, 60, 2) // region 0: copy 0 is stale
 	b.end(c, 1, true, false)
 	c = b.begin(150, 160, 1) // region 1: copy 1 is stale
@@ -296,16 +296,16 @@
 		once   bool
 	}{
 		{3, []Seen{away, home}, 1, false, true},
-		{1, []Seen{away, home}, 0, false, false},                         // the one at home is stale
-		{3, []Seen{away, late(home, 90)}, 1, false, true},                // later, but within the aim
-		{3, []Seen{away, late(home, 200)}, 0, true, true},                // too late at home
-		{3, []Seen{late(away, 180), late(home, 200)}, 1, false, true},    // too late everywhere, and little gained
-		{3, []Seen{late(away, 150), late(home, 2000)}, 0, true, true},    // too late everywhere, much gained
-		{7, []Seen{late(home, 50), home, away}, 1, false, true},          // the sooner at home
+		{1, []Seen{away, home}, 0, false, false},                         // the copy at home is stale
+		{3, []Seen{away, late(home, 90)}, 1, false, true},                // slower, but within the aim
+		{3, []Seen{away, late(home, 200)}, 0, true, true},                // beyond the aim at home
+		{3, []Seen{late(away, 180), late(home, 200)}, 1, false, true},    // beyond the aim everywhere, less than twice as fast elsewhere
+		{3, []Seen{late(away, 150), late(home, 2000)}, 0, true, true},    // beyond the aim everywhere, more than twice as fast elsewhere
+		{7, []Seen{late(home, 50), home, away}, 1, false, true},          // the faster of two at home
 		{3, []Seen{down, away}, 1, false, false},                         //
-		{3, []Seen{down, down}, 0, false, false},                         // nowhere: the lowest refuses
-		{6, []Seen{home, down, late(away, 5000)}, 2, false, false},       // none else
-		{3, []Seen{{true, false, 0}, late(away, 5000)}, 1, false, false}, // at home none is in reach
+		{3, []Seen{down, down}, 0, false, false},                         // none is ready: the lowest, which refuses
+		{6, []Seen{home, down, late(away, 5000)}, 2, false, false},       // the only ready copy that may be read
+		{3, []Seen{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
 	} {
 		r := Read{Aim: 100, By: 1000}
 		if _, ok := r.First(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.At != x.copy || r.Spills != x.spills || r.Once != x.once {
@@ -314,8 +314,8 @@
 	}
 }
 
-// A read that was not served goes on at a copy it was not tried at, while it has time and attempts; where it may not cross
-// it goes home, stays, or is refused with the time to come back.
+// A read that was not served is retried at a copy that it was not tried at, while it has time and attempts. If it may
+// not cross zones, it goes to the copy at home, stays, or is refused with a retry delay.
 func TestReadGoesOn(t *testing.T) {
 	home, away := Seen{true, true, 10}, Seen{false, true, 10}
 	slow := Seen{true, true, 5000}
@@ -324,10 +324,10 @@
 	for _, x := range []struct {
 		name         string
 		first, later []Seen
-		ask          Ask // both times
+		ask          Ask // of both calls
 		now          logic.Micros
 		tries        int
-		ok           bool // the first time
+		ok           bool // result of First
 		again        bool
 		at           int
 		spills       bool
@@ -344,33 +344,33 @@
 		r := Read{Aim: 100, By: 1000, Most: 4}
 		wait, ok := r.First(3, x.first, x.ask)
 		if ok != x.ok || !ok && wait != 7 {
-			t.Errorf("%s: %v, %v at first: %+v", x.name, ok, wait, r)
+			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
 		}
 		if got := r.Again(x.now, 3, x.later, x.tries, x.ask); got != x.again || r.At != x.at || r.Spills != x.spills {
-			t.Errorf("%s: goes on %v, %+v", x.name, got, r)
+			t.Errorf("%s: Again gives %v, %+v", x.name, got, r)
 		}
 		if x.again && r.Again(x.now, 3, x.later, x.tries, x.ask) {
-			t.Errorf("%s: goes on a third time: %+v", x.name, r)
+			t.Errorf("%s: retried a second time: %+v", x.name, r)
 		}
 	}
 }
 
-// Millions of stale regions are not looked through at once, and each is caught up in its turn.
+// Millions of stale regions are not scanned in one call, and each is caught up in turn.
 func TestFillManyRegions(t *testing.T) {
-	const n = 5 * mostLooked
-	b := run(t, Settings{2, 1, 100, n * 100})
+	const n = 5 * maxRegionsScanned
+	b := newHarness(t, Settings{2, 1, 100, n * 100})
 	for i := range int64(n) {
-		if err := b.Remember(Mark{i, int(i / (n - 10))}); err != nil { // the last ones are led by copy 1
+		if err := b.Remember(Mark{i, int(i / (n - 10))}); err != nil { // copy 1 leads the last regions
 			t.Fatal(err)
 		}
 	}
 	filled := map[int64]bool{}
 	calls, first := 0, 0
-	for ; len(filled) < 10 && calls < 100; calls++ { // only what copy 1 leads can be caught up: copy 0 is in reach, and is stale
-		b.Set.until[1] = b.now + sec
+	for ; len(filled) < 10 && calls < 100; calls++ { // only regions led by copy 1 can be caught up: copy 0 is the only target, as copy 1 waits
+		b.Set.catchUpNotBefore[1] = b.now + sec
 		f, ok, wait := b.Fill(b.now, 3)
-		if !ok && wait > breath {
-			t.Fatalf("call %d: wait %v though others were not looked at", calls, wait)
+		if !ok && wait > scanPause {
+			t.Fatalf("call %d: wait %v although some regions were not scanned", calls, wait)
 		}
 		if ok {
 			if first == 0 {
@@ -381,23 +381,23 @@
 		}
 	}
 	if len(filled) < 10 || first < 4 || b.Whole(1) || !b.Whole(0) {
-		t.Errorf("%d caught up in %d calls, the first in call %d", len(filled), calls, first)
+		t.Errorf("%d regions caught up in %d calls, the first in call %d", len(filled), calls, first)
 	}
 }
 
-// Any course of changes, ends, marks that fail, catching up, and crashes: a read from any copy it may go to never gives
-// less than was answered as served, and copies that may be read are alike where no change is on its way.
+// For any sequence of changes, ends, failed marks, fills and crashes: a read from any readable copy returns at least
+// what was answered as served, and all readable copies are identical.
 func TestCopiesModel(t *testing.T) {
-	for range 20 { // -rapid.checks=400000 is what finds the rarest of the faults that were put in on trial
-		rapid.Check(t, model)
+	for range 20 { // the rarest injected faults need -rapid.checks=400000 to be found
+		rapid.Check(t, checkModel)
 	}
 }
 
-const blocks = 12
+const numBlocks = 12
 
 type send struct {
 	change *change
-	fill   *filling
+	fill   *fillState
 }
 
 type change struct {
@@ -405,28 +405,28 @@
 	value int
 }
 
-type filling struct {
+type fillState struct {
 	Fill
-	data   []int // nil: not read yet
+	data   []int // nil: not read from the source yet
 	failed bool
 }
 
-func model(t *rapid.T) {
+func checkModel(t *rapid.T) {
 	n := rapid.IntRange(2, 3).Draw(t, "copies")
-	cfg := Settings{n, rapid.IntRange(1, n).Draw(t, "hold"), 4, blocks}
+	cfg := Settings{n, rapid.IntRange(1, n).Draw(t, "hold"), 4, numBlocks}
 	set, _ := New(cfg)
 	now := sec
 	disk := make([][]int, n)
 	for i := range disk {
-		disk[i] = make([]int, blocks)
+		disk[i] = make([]int, numBlocks)
 	}
-	queue := make([][]*send, n) // in the order of the changes, as the caller keeps it
+	queue := make([][]*send, n) // by copy, in the order of the changes, which the caller must keep
 	marks := map[int64]int{}
 	var keeps []Output
-	acked := make([]int, blocks)
+	acked := make([]int, numBlocks)
 	values := 0
 	var live []*change
-	work := func() {
+	process := func() {
 		for out := set.Out(); len(out) > 0; out = set.Out() {
 			for _, o := range out {
 				switch o.Kind {
@@ -434,7 +434,7 @@
 					keeps = append(keeps, o)
 				case Send:
 					c := o.Change.Owner.(*change)
-					values++ // the order of changes is that in which they are sent
+					values++ // changes are ordered as they are sent
 					c.value = values
 					for i := range n {
 						if c.Sent.Has(i) {
@@ -451,10 +451,10 @@
 		}
 	}
 	check := func() {
-		for b := range int64(blocks) {
+		for b := range int64(numBlocks) {
 			m, _ := set.Readable(b, b+1)
 			if m == 0 {
-				t.Fatalf("block %d can be read nowhere", b)
+				t.Fatalf("block %d has no readable copy", b)
 			}
 			first := m.First()
 			for i := range n {
@@ -486,13 +486,13 @@
 		queue[i] = queue[i][1:]
 		return s
 	}
-	any := func(name string) int { return rapid.IntRange(0, n-1).Draw(t, name) }
+	drawCopy := func(name string) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 	t.Repeat(map[string]func(*rapid.T){
-		"": func(*rapid.T) { work(); check() },
+		"": func(*rapid.T) { process(); check() },
 		"begin": func(t *rapid.T) {
-			from := rapid.Int64Range(0, blocks-1).Draw(t, "from")
+			from := rapid.Int64Range(0, numBlocks-1).Draw(t, "from")
 			c := &change{}
-			c.From, c.To, c.Owner = from, rapid.Int64Range(from+1, min(from+5, blocks)).Draw(t, "to"), c
+			c.From, c.To, c.Owner = from, rapid.Int64Range(from+1, min(from+5, numBlocks)).Draw(t, "to"), c
 			c.Aim, c.By = rapid.SampledFrom([]logic.Micros{2 * ms, 100 * ms}).Draw(t, "aim"), now+sec
 			live = append(live, c)
 			set.Begin(now, &c.Change, Mask(rapid.IntRange(0, 1<<n-1).Draw(t, "ready")))
@@ -514,12 +514,12 @@
 			set.Kept(now, o.Mark, ok)
 		},
 		"end": func(t *rapid.T) {
-			i := any("copy")
+			i := drawCopy("copy")
 			if len(queue[i]) == 0 {
 				t.Skip()
 			}
 			s := queue[i][0]
-			how := rapid.IntRange(0, 5).Draw(t, "how") // 0: refused, 1: lost, not run, 2: lost, run
+			how := rapid.IntRange(0, 5).Draw(t, "how") // 0: refused, 1: lost and not run, 2: lost and run, 3 and more: held
 			if f := s.fill; f != nil {
 				if f.Source == i {
 					pop(i)
@@ -528,7 +528,7 @@
 					return
 				}
 				if f.data == nil {
-					t.Skip() // it waits for what is read
+					t.Skip() // it waits for the read from the source
 				}
 				pop(i)
 				if !f.failed && how > 1 {
@@ -545,7 +545,7 @@
 		},
 		"fill": func(t *rapid.T) {
 			if f, ok, _ := set.Fill(now, Mask(rapid.IntRange(0, 1<<n-1).Draw(t, "ready"))); ok {
-				s := &send{fill: &filling{Fill: f}}
+				s := &send{fill: &fillState{Fill: f}}
 				queue[f.Source] = append(queue[f.Source], s)
 				queue[f.Target] = append(queue[f.Target], s)
 			}
@@ -563,7 +563,7 @@
 			if rapid.IntRange(0, 4).Draw(t, "really") > 0 {
 				t.Skip()
 			}
-			for i := range n { // what is out runs or does not, in order; nothing lands later, as changes rest after a start
+			for i := range n { // sends in flight run or do not, in order; none runs later, as changes are held back after a start
 				for _, s := range queue[i] {
 					if (s.fill == nil || s.fill.Target == i && s.fill.data != nil && !s.fill.failed) && rapid.Bool().Draw(t, "runs") {
 						apply(i, s)
@@ -584,7 +584,7 @@
 			}
 			keeps, live = nil, nil
 			set, _ = New(cfg)
-			for n := range int64(blocks / 4) {
+			for n := range int64(numBlocks / 4) {
 				if lead, ok := marks[n]; ok {
 					if err := set.Remember(Mark{n, lead}); err != nil {
 						t.Fatal(err)
@@ -593,16 +593,16 @@
 			}
 		},
 	})
-	// In the end everything can be caught up.
+	// Finally everything can be caught up.
 	for range 200 {
-		work()
+		process()
 		for len(keeps) > 0 {
 			o := keeps[0]
 			keeps = keeps[1:]
 			if o.Kind == Keep {
 				set.Kept(now, o.Mark, true)
 			}
-			work()
+			process()
 		}
 		for i := range queue {
 			for len(queue[i]) > 0 {
@@ -622,20 +622,20 @@
 					set.Ended(now, &s.change.Change, i, true, false)
 				}
 				pop(i)
-				work()
+				process()
 			}
 		}
 		check()
 		now += 11 * sec
 		set.Late(now)
-		if f, ok, _ := set.Fill(now, all(n)); ok {
-			s := &send{fill: &filling{Fill: f}}
+		if f, ok, _ := set.Fill(now, allCopies(n)); ok {
+			s := &send{fill: &fillState{Fill: f}}
 			queue[f.Source] = append(queue[f.Source], s)
 			queue[f.Target] = append(queue[f.Target], s)
 		}
 	}
-	if set.Stale() != 0 || set.regions.Len() != 0 || len(set.live) != 0 {
-		t.Fatalf("%d stale regions, %d entries and %d changes are left: %s", set.Stale(), set.regions.Len(), len(set.live), fmt.Sprint(set.Tally))
+	if set.Stale() != 0 || set.regions.Len() != 0 || len(set.active) != 0 {
+		t.Fatalf("%d stale regions, %d region entries and %d changes are left: %s", set.Stale(), set.regions.Len(), len(set.active), fmt.Sprint(set.Tally))
 	}
 	for i := range disk {
 		if !slices.Equal(disk[i], disk[0]) {
@@ -644,12 +644,12 @@
 	}
 }
 
-// What a change costs that needs no new mark, and a read, among a thousand regions that are marked.
+// BenchmarkCopies measures a change that needs no new mark and a read, with a thousand marked regions.
 func BenchmarkCopies(b *testing.B) {
 	s, _ := New(Settings{2, 1, 1 << 20, 1 << 40})
 	for i := range int64(1000) {
-		r := s.at(i)
-		r.kept = true
+		r := s.ensureRegion(i)
+		r.marked = true
 	}
 	var c Change
 	now := sec
@@ -661,12 +661,12 @@
 		s.Ended(now, &c, 0, true, false)
 		s.Ended(now, &c, 1, true, false)
 		s.Readable(from, from+4096)
-		s.out = s.out[:0]
+		s.outputs = s.outputs[:0]
 	}
 }
 
-// What a million regions with a stale copy cost each second: time passing, telling what is whole, and looking for what can
-// be caught up while the copy is not in reach.
+// BenchmarkStale measures the periodic work with a million regions with a stale copy: timeouts, the check whether
+// copies are up to date, and the scan for regions to catch up while the copy is not in reach.
 func BenchmarkStale(b *testing.B) {
 	s, _ := New(Settings{2, 1, 1 << 20, 1 << 40})
 	for i := range int64(1 << 20) {
