--- a/placing/placing.go
+++ b/placing/placing.go
@@ -1,11 +1,12 @@
-// Package placing decides where a new extent or object and its copies go: into the zone of the gateway that asks, unless
-// what is there is full, cold or failing; each further copy to another zone than those before it, as long as there is
-// one; and among equals to the cell that holds least, so that a pool fills evenly.
+// Package placing chooses the cells for a new extent or object and its copies. The first copy goes to the zone of the
+// requesting gateway unless its cells are full, cold or failing; each further copy goes to a zone without a copy as
+// long as there is one; and among equal cells the least filled one is chosen, so that the pool fills evenly.
 //
-// It guards against a new volume that lies a zone away, or in one zone with all its copies, for want of anybody looking.
-// It could harm where a zone is nearly full: what is placed there last goes to few cells, which then serve most of it.
+// This prevents new volumes from being placed in a remote zone, or with all copies in one zone, unintentionally.
+// Drawback: if a zone is nearly full, the last data placed there goes to few cells, which then serve most of the
+// requests for it.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// The package has no clock, goroutines or I/O, and no decision depends on map order.
 package placing
 
 import (
@@ -13,36 +14,36 @@
 	"slices"
 )
 
-// failing is the share of attempts that fail from which a cell is passed by as long as others are left.
-const failing = 0.1
+// failingShare is the share of failed attempts from which a cell is avoided as long as other cells are left.
+const failingShare = 0.1
 
-// Cell is what is known of a cell.
+// Cell is the state of a cell that placement uses.
 type Cell struct {
 	ID       int
-	Zone     int     // below zero: not told; one of its own
-	Ready    bool    // a node that takes work holds it
-	Cold     bool    // that node has only just started
-	Failing  float64 // share of its attempts that fail
-	Capacity int64   // bytes; 0: not told, and never full
-	Used     int64   // bytes of extents that lie there
-	NoRoom   bool    // what is to be placed does not fit, whatever the sums say
+	Zone     int     // below zero: unknown, not shared with any other cell
+	Ready    bool    // a node that accepts work serves it
+	Cold     bool    // that node started only recently
+	Failing  float64 // share of failed attempts
+	Capacity int64   // bytes; 0: unknown, treated as unlimited
+	Used     int64   // bytes of the extents placed there
+	NoRoom   bool    // the data to be placed does not fit, whatever Capacity and Used are
 }
 
-// full tells whether so many more bytes do not fit.
+// full reports whether size more bytes do not fit.
 func (c *Cell) full(size int64) bool { return c.NoRoom || c.Capacity > 0 && c.Used+size > c.Capacity }
 
-// worse is how bad a cell is to place on: 0 good, 1 to be passed by while others are left, 2 never.
-func (c *Cell) worse(size int64) int {
+// rank returns the suitability of a cell: 0 good, 1 only if no good cell is left, 2 never.
+func (c *Cell) rank(size int64) int {
 	switch {
 	case c.full(size):
 		return 2
-	case !c.Ready || c.Cold || c.Failing >= failing:
+	case !c.Ready || c.Cold || c.Failing >= failingShare:
 		return 1
 	}
 	return 0
 }
 
-// NoRoomError says that too few cells have room.
+// NoRoomError reports that fewer cells have room than copies are required.
 type NoRoomError struct {
 	Size         int64
 	Copies, Have int
@@ -52,26 +53,27 @@
 	return fmt.Sprintf("placing: %d bytes in %d copies: only %d cells have room", e.Size, e.Copies, e.Have)
 }
 
-// Place finds the cells for a new extent of so many bytes with so many copies; the first is where it leads. Home is the
-// zone that asks, below zero where it has none. The cells' Used is counted up, so that calls can follow one another.
+// Place chooses the cells for a new extent of size bytes with the given number of copies; the first one is the lead.
+// Home is the zone of the requesting gateway, below zero if it has none. Place adds size to Used of the chosen cells,
+// so that consecutive calls take earlier ones into account.
 func Place(cells []Cell, home int, size int64, copies int) (ids []int, err error) {
 	var chosen []int // indexes
 	zones := map[int]int{}
 	for len(chosen) < copies {
-		best := -1
+		bestIndex := -1
 		for i := range cells {
-			if cells[i].worse(size) == 2 || slices.Contains(chosen, i) {
+			if cells[i].rank(size) == 2 || slices.Contains(chosen, i) {
 				continue
 			}
-			if best < 0 || better(&cells[i], &cells[best], home, size, zones, len(chosen) == 0) {
-				best = i
+			if bestIndex < 0 || better(&cells[i], &cells[bestIndex], home, size, zones, len(chosen) == 0) {
+				bestIndex = i
 			}
 		}
-		if best < 0 {
+		if bestIndex < 0 {
 			return nil, &NoRoomError{size, copies, len(chosen)}
 		}
-		chosen = append(chosen, best)
-		if z := cells[best].Zone; z >= 0 {
+		chosen = append(chosen, bestIndex)
+		if z := cells[bestIndex].Zone; z >= 0 {
 			zones[z]++
 		}
 	}
@@ -82,62 +84,62 @@
 	return ids, nil
 }
 
-// Object is where a new object may go: to any cell, unless it says otherwise.
+// Object restricts the cells that a new object may go to.
 type Object struct {
-	Home bool // only to cells of the zone that asks
-	Only int  // only to this cell; below zero: not
+	Home bool // only cells of the requesting gateway's zone
+	Only int  // only this cell; below zero: no such restriction
 }
 
-// NewObject tells where logic, which knows nothing of zones and room, may place a new object of so many bytes: in the zone
-// that asks as long as a cell there takes it. Exception: where some of the cells that logic could choose from have no room,
-// the cell is found here.
+// NewObject returns the cells among which package logic, which knows neither zones nor free space, may place a new
+// object of size bytes: those of the requesting gateway's zone as long as a ready cell there has room. Exception: if
+// some of the cells that logic could choose from have no room, NewObject chooses the cell itself.
 func NewObject(cells []Cell, home int, size int64) (o Object, err error) {
 	o.Only = -1
-	var good, full [2]bool // at home, anywhere
+	var usable, anyFull [2]bool // at home, anywhere
 	for i := range cells {
 		c := &cells[i]
-		here := home >= 0 && c.Zone == home
+		local := home >= 0 && c.Zone == home
 		fits := !c.full(size)
-		good[0], good[1] = good[0] || here && fits && c.Ready, good[1] || fits
-		full[0], full[1] = full[0] || here && !fits, full[1] || !fits
+		usable[0], usable[1] = usable[0] || local && fits && c.Ready, usable[1] || fits
+		anyFull[0], anyFull[1] = anyFull[0] || local && !fits, anyFull[1] || !fits
 	}
 	switch {
-	case good[0] && !full[0]:
+	case usable[0] && !anyFull[0]:
 		o.Home = true
-	case good[0] || full[1]:
+	case usable[0] || anyFull[1]:
 		ids, err := Place(cells, home, size, 1)
 		if err != nil {
 			return o, err
 		}
 		o.Only = ids[0]
-	case !good[1]:
+	case !usable[1]:
 		return o, &NoRoomError{size, 1, 0}
 	}
 	return o, nil
 }
 
-// better tells whether a cell is better than another for the next copy. A zone that holds a copy already comes after any
-// that does not, even where those cells are cold: copies in one zone are lost together.
+// better reports whether cell a is preferable to cell b for the next copy. A zone that already holds a copy comes after
+// any that does not, even if the cells of the latter are cold, because copies in one zone are lost together.
 func better(a, b *Cell, home int, size int64, zones map[int]int, first bool) bool {
 	if !first {
 		if x, y := zones[a.Zone], zones[b.Zone]; x != y {
 			return x < y
 		}
 	}
-	if x, y := a.worse(size), b.worse(size); x != y {
+	if x, y := a.rank(size), b.rank(size); x != y {
 		return x < y
 	}
 	if x, y := home >= 0 && a.Zone == home, home >= 0 && b.Zone == home; first && x != y {
 		return x
 	}
-	if x, y := a.filled(), b.filled(); x != y {
+	if x, y := a.fillLevel(), b.fillLevel(); x != y {
 		return x < y
 	}
 	return a.ID < b.ID
 }
 
-// filled is the part of a cell that is used; of one whose capacity is not told, as if it held a pebibyte.
-func (c *Cell) filled() float64 {
+// fillLevel returns the used share of a cell's capacity. An unknown capacity counts as one pebibyte.
+func (c *Cell) fillLevel() float64 {
 	if c.Capacity > 0 {
 		return float64(c.Used) / float64(c.Capacity)
 	}
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -11,7 +11,7 @@
 func TestPlace(t *testing.T) {
 	const gib = 1 << 30
 	good := func(id, zone int) Cell { return Cell{ID: id, Zone: zone, Ready: true, Capacity: 10 * gib} }
-	with := func(c Cell, f func(c *Cell)) Cell { f(&c); return c }
+	modified := func(c Cell, f func(c *Cell)) Cell { f(&c); return c }
 	cold := func(c *Cell) { c.Cold = true }
 	full := func(c *Cell) { c.Used = c.Capacity - gib/2 }
 	fails := func(c *Cell) { c.Failing = 0.3 }
@@ -19,20 +19,20 @@
 		name   string
 		cells  []Cell
 		copies int
-		want   []int // nil: no room
+		want   []int // nil: NoRoomError
 	}{
 		{"at home", []Cell{good(0, 1), good(1, 0)}, 1, []int{1}},
 		{"a copy elsewhere", []Cell{good(0, 0), good(1, 0), good(2, 1)}, 2, []int{0, 2}},
-		{"the emptiest at home", []Cell{with(good(0, 0), func(c *Cell) { c.Used = gib }), good(1, 0), good(2, 1)}, 1, []int{1}},
-		{"home is cold", []Cell{with(good(0, 0), cold), good(1, 1)}, 1, []int{1}},
-		{"home fails", []Cell{with(good(0, 0), fails), good(1, 1)}, 1, []int{1}},
-		{"home is full", []Cell{with(good(0, 0), full), good(1, 1)}, 1, []int{1}},
-		{"home is gone", []Cell{with(good(0, 0), func(c *Cell) { c.Ready = false }), good(1, 1)}, 1, []int{1}},
-		{"all are cold", []Cell{with(good(0, 1), cold), with(good(1, 0), cold)}, 1, []int{1}},
-		{"a cold one in another zone before a good one in the same", []Cell{good(0, 0), good(1, 0), with(good(2, 1), cold)}, 2, []int{0, 2}},
+		{"the emptiest at home", []Cell{modified(good(0, 0), func(c *Cell) { c.Used = gib }), good(1, 0), good(2, 1)}, 1, []int{1}},
+		{"home is cold", []Cell{modified(good(0, 0), cold), good(1, 1)}, 1, []int{1}},
+		{"home is failing", []Cell{modified(good(0, 0), fails), good(1, 1)}, 1, []int{1}},
+		{"home is full", []Cell{modified(good(0, 0), full), good(1, 1)}, 1, []int{1}},
+		{"home is not ready", []Cell{modified(good(0, 0), func(c *Cell) { c.Ready = false }), good(1, 1)}, 1, []int{1}},
+		{"all are cold", []Cell{modified(good(0, 1), cold), modified(good(1, 0), cold)}, 1, []int{1}},
+		{"a cold one in another zone before a good one in the same", []Cell{good(0, 0), good(1, 0), modified(good(2, 1), cold)}, 2, []int{0, 2}},
 		{"one zone only", []Cell{good(0, 0), good(1, 0)}, 2, []int{0, 1}},
-		{"zones not told", []Cell{good(0, -1), good(1, -1)}, 2, []int{0, 1}},
-		{"no room", []Cell{with(good(0, 0), full), with(good(1, 1), full)}, 1, nil},
+		{"zones unknown", []Cell{good(0, -1), good(1, -1)}, 2, []int{0, 1}},
+		{"no room", []Cell{modified(good(0, 0), full), modified(good(1, 1), full)}, 1, nil},
 		{"no room for a second", []Cell{good(0, 0)}, 2, nil},
 	} {
 		got, err := Place(x.cells, 0, gib, x.copies)
@@ -48,36 +48,36 @@
 		return Cell{ID: id, Zone: zone, Ready: ready, NoRoom: !room}
 	}
 	for _, x := range []struct {
-		name  string
-		cells []Cell
-		home  int
-		want  Object
-		none  bool
+		name      string
+		cells     []Cell
+		home      int
+		want      Object
+		wantError bool
 	}{
 		{"no zones", []Cell{cell(0, -1, true, true), cell(1, -1, true, true)}, -1, Object{false, -1}, false},
 		{"no zones, one full", []Cell{cell(0, -1, true, false), cell(1, -1, true, true)}, -1, Object{false, 1}, false},
 		{"home", []Cell{cell(0, 0, true, true), cell(1, 1, true, true)}, 0, Object{true, -1}, false},
-		{"home, one of it full", []Cell{cell(0, 0, true, false), cell(1, 0, true, true), cell(2, 1, true, true)}, 0, Object{false, 1}, false},
+		{"home, one cell full", []Cell{cell(0, 0, true, false), cell(1, 0, true, true), cell(2, 1, true, true)}, 0, Object{false, 1}, false},
 		{"home full", []Cell{cell(0, 0, true, false), cell(1, 1, true, true)}, 0, Object{false, 1}, false},
-		{"home not in reach", []Cell{cell(0, 0, false, true), cell(1, 1, true, true)}, 0, Object{false, -1}, false},
-		{"the other full", []Cell{cell(0, 0, true, true), cell(1, 1, true, false)}, 0, Object{true, -1}, false},
+		{"home not ready", []Cell{cell(0, 0, false, true), cell(1, 1, true, true)}, 0, Object{false, -1}, false},
+		{"other zone full", []Cell{cell(0, 0, true, true), cell(1, 1, true, false)}, 0, Object{true, -1}, false},
 		{"all full", []Cell{cell(0, 0, true, false), cell(1, 1, true, false)}, 0, Object{false, -1}, true},
-		{"none", nil, 0, Object{false, -1}, true},
+		{"no cells", nil, 0, Object{false, -1}, true},
 	} {
 		got, err := NewObject(x.cells, x.home, 1)
-		if got != x.want || (err != nil) != x.none {
+		if got != x.want || (err != nil) != x.wantError {
 			t.Errorf("%s: %+v, %v; want %+v", x.name, got, err, x.want)
 		}
 	}
 }
 
-// Copies never share a cell, nothing is overfilled, and copies share a zone only where zones are too few; good cells of a
-// zone are filled evenly.
+// Copies never share a cell, no cell is overfilled, copies share a zone only if too few zones have room, and the good
+// cells of a zone are filled evenly.
 func TestPlaceEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zones, each := rapid.IntRange(1, 3).Draw(t, "zones"), rapid.IntRange(1, 5).Draw(t, "each")
+		zones, cellsPerZone := rapid.IntRange(1, 3).Draw(t, "zones"), rapid.IntRange(1, 5).Draw(t, "each")
 		var cells []Cell
-		for i := range zones * each {
+		for i := range zones * cellsPerZone {
 			cells = append(cells, Cell{ID: i, Zone: i % zones, Ready: true, Capacity: 100})
 		}
 		copies := rapid.IntRange(1, 3).Draw(t, "copies")
@@ -86,33 +86,33 @@
 			if err != nil {
 				break
 			}
-			seen, in := map[int]bool{}, map[int]bool{}
+			seen, zonesUsed := map[int]bool{}, map[int]bool{}
 			for _, id := range ids {
-				seen[id], in[cells[id].Zone] = true, true
+				seen[id], zonesUsed[cells[id].Zone] = true, true
 			}
 			if len(seen) != copies {
-				t.Fatalf("%v: a cell stands twice", ids)
+				t.Fatalf("%v: copies share a cell", ids)
 			}
-			room := map[int]bool{}
+			zonesWithRoom := map[int]bool{}
 			for _, c := range cells {
 				if c.Used > c.Capacity {
 					t.Fatalf("cell %d is overfilled", c.ID)
 				}
 				if c.Used+10 <= c.Capacity || seen[c.ID] {
-					room[c.Zone] = true
+					zonesWithRoom[c.Zone] = true
 				}
 			}
-			if len(in) < min(copies, len(room)) {
-				t.Fatalf("%v lie in %d zones, %d have room", ids, len(in), len(room))
+			if len(zonesUsed) < min(copies, len(zonesWithRoom)) {
+				t.Fatalf("%v are in %d zones, %d zones have room", ids, len(zonesUsed), len(zonesWithRoom))
 			}
-			least, most := int64(100), int64(0)
+			minUsed, maxUsed := int64(100), int64(0)
 			for _, c := range cells {
 				if c.Zone == 0 {
-					least, most = min(least, c.Used), max(most, c.Used)
+					minUsed, maxUsed = min(minUsed, c.Used), max(maxUsed, c.Used)
 				}
 			}
-			if most-least > 10 {
-				t.Fatalf("zone 0 is filled from %d to %d", least, most)
+			if maxUsed-minUsed > 10 {
+				t.Fatalf("zone 0 is filled from %d to %d", minUsed, maxUsed)
 			}
 		}
 	})
