--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -1,12 +1,13 @@
-// Package slabs decides which bytes of a volume a new object gets. A volume of objects is slabs, one or more a cell; an
-// object lies in one run of one slab. What is used is known from the catalogue of the objects alone: after a crash the
-// free space is what no object lies on, so nothing is ever leaked.
+// Package slabs allocates the bytes of a volume to new objects. A volume of objects consists of slabs, one or more per
+// cell; an object occupies one contiguous run of one slab. The allocated space is derived from the object catalogue
+// alone: after a crash all space that no object occupies is free, so that no space is leaked.
 //
-// A run that is freed while an attempt to write it may still run is not given out before that is surely over: it guards
-// against an old write that lands on a new object. It could harm where objects of very different sizes come and go: free
-// space is then many small runs. The smallest that fits is taken, which keeps large ones for large objects.
+// A run that is freed while an attempt to write it may still be in flight is not allocated again before that attempt
+// has certainly ended. This prevents an old write from overwriting a new object. Drawback: objects of very different
+// sizes fragment the free space into many small runs. The smallest run that fits is allocated (best fit), which keeps
+// large runs for large objects.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// The package has no clock, goroutines or I/O, and no decision depends on map order.
 package slabs
 
 import (
@@ -19,69 +20,69 @@
 	"github.com/tidwall/btree"
 )
 
-// Unit is the granularity of space, in bytes.
+// Unit is the allocation granularity in bytes.
 const Unit = 4096
 
-// Slab is a run of the volume's bytes at one cell.
+// Slab is a contiguous range of the volume's bytes that lies at one cell.
 type Slab struct {
 	Cell      int
 	From, Len int64 // bytes of the volume, multiples of Unit
 }
 
-type run struct{ from, len int64 }
+type run struct{ from, length int64 }
 
-// Space is what is free of a volume. Its size is bounded by its units.
+// Space tracks the free and allocated bytes of a volume. Its size is bounded by the number of units.
 type Space struct {
-	slabs  []Slab
-	byFrom *btree.BTreeG[run]         // free runs
-	bySize map[int]*btree.BTreeG[run] // by cell: the same, by length and place
-	free   map[int]int64              // bytes, by cell
-	used   map[int64]held             // by first byte
-	still  logic.Micros               // nothing is given out before
-	resting
+	slabs        []Slab
+	freeByOffset *btree.BTreeG[run]         // free runs
+	freeBySize   map[int]*btree.BTreeG[run] // by cell: free runs by length, then offset
+	free         map[int]int64              // free bytes by cell
+	allocated    map[int64]allocation       // by first byte of the run
+	pausedUntil  logic.Micros               // nothing is allocated before
+	quarantine
 }
 
-// held is a run that is given out.
-type held struct {
-	len   int64
-	until logic.Micros // not to be given out again before
+// allocation is an allocated run.
+type allocation struct {
+	length        int64
+	writableUntil logic.Micros // a write may be in flight until then
 }
 
-type rest struct {
+type quarantinedRun struct {
 	run
 	until logic.Micros
 }
 
-// resting are freed runs that wait, soonest first.
-type resting []rest
+// quarantine is a heap of freed runs that must not be allocated yet, by the time at which they can be.
+type quarantine []quarantinedRun
 
-func (r resting) Len() int           { return len(r) }
-func (r resting) Less(i, j int) bool { return r[i].until < r[j].until }
-func (r resting) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *resting) Push(x any)        { *r = append(*r, x.(rest)) }
-func (r *resting) Pop() any {
+func (r quarantine) Len() int           { return len(r) }
+func (r quarantine) Less(i, j int) bool { return r[i].until < r[j].until }
+func (r quarantine) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *quarantine) Push(x any)        { *r = append(*r, x.(quarantinedRun)) }
+func (r *quarantine) Pop() any {
 	old := *r
 	x := old[len(old)-1]
 	*r = old[:len(old)-1]
 	return x
 }
 
-// New makes a space of which nothing is used. Slabs must not overlap.
+// New returns a space in which all bytes are free. Slabs must not overlap.
 func New(slabs []Slab) *Space {
-	opts := btree.Options{NoLocks: true}
-	s := &Space{slabs: slabs, bySize: map[int]*btree.BTreeG[run]{}, free: map[int]int64{}, used: map[int64]held{},
-		byFrom: btree.NewBTreeGOptions(func(a, b run) bool { return a.from < b.from }, opts)}
+	options := btree.Options{NoLocks: true}
+	s := &Space{slabs: slabs, freeBySize: map[int]*btree.BTreeG[run]{}, free: map[int]int64{}, allocated: map[int64]allocation{},
+		freeByOffset: btree.NewBTreeGOptions(func(a, b run) bool { return a.from < b.from }, options)}
 	for _, x := range slabs {
-		if s.bySize[x.Cell] == nil {
-			s.bySize[x.Cell] = btree.NewBTreeGOptions(func(a, b run) bool { return cmp.Or(cmp.Compare(a.len, b.len), cmp.Compare(a.from, b.from)) < 0 }, opts)
+		if s.freeBySize[x.Cell] == nil {
+			s.freeBySize[x.Cell] = btree.NewBTreeGOptions(func(a, b run) bool { return cmp.Or(cmp.Compare(a.length, b.length), cmp.Compare(a.from, b.from)) < 0 }, options)
 		}
-		s.add(run{x.From, x.Len / Unit * Unit})
+		s.addFree(run{x.From, x.Len / Unit * Unit})
 	}
 	return s
 }
 
-// slab is the one that holds a byte.
-func (s *Space) slab(at int64) *Slab {
+// slabAt returns the slab that contains the byte, or nil.
+func (s *Space) slabAt(at int64) *Slab {
 	for i := range s.slabs {
 		if x := &s.slabs[i]; at >= x.From && at < x.From+x.Len {
 			return x
@@ -90,154 +91,160 @@
 	return nil
 }
 
-// add makes a run free, joined with its neighbours in the same slab.
-func (s *Space) add(r run) {
-	if r.len <= 0 {
+// addFree makes a run free and merges it with adjacent free runs of the same slab.
+func (s *Space) addFree(r run) {
+	if r.length <= 0 {
 		return
 	}
-	x := s.slab(r.from)
-	s.free[x.Cell] += r.len
-	s.byFrom.Descend(run{from: r.from}, func(b run) bool {
-		if b.from >= x.From && b.from+b.len == r.from {
-			s.cut(x.Cell, b)
-			r = run{b.from, b.len + r.len}
+	x := s.slabAt(r.from)
+	s.free[x.Cell] += r.length
+	s.freeByOffset.Descend(run{from: r.from}, func(b run) bool {
+		if b.from >= x.From && b.from+b.length == r.from {
+			s.removeFree(x.Cell, b)
+			r = run{b.from, b.length + r.length}
 		}
 		return false
 	})
-	if b, ok := s.byFrom.Get(run{from: r.from + r.len}); ok && b.from < x.From+x.Len {
-		s.cut(x.Cell, b)
-		r.len += b.len
+	if b, ok := s.freeByOffset.Get(run{from: r.from + r.length}); ok && b.from < x.From+x.Len {
+		s.removeFree(x.Cell, b)
+		r.length += b.length
 	}
-	s.byFrom.Set(r)
-	s.bySize[x.Cell].Set(r)
+	s.freeByOffset.Set(r)
+	s.freeBySize[x.Cell].Set(r)
 }
 
-func (s *Space) cut(cell int, r run) {
-	s.byFrom.Delete(r)
-	s.bySize[cell].Delete(r)
+// removeFree removes a run from both free lists; the caller adjusts the sum of free bytes.
+func (s *Space) removeFree(cell int, r run) {
+	s.freeByOffset.Delete(r)
+	s.freeBySize[cell].Delete(r)
 }
 
-func whole(n int64) int64 { return max((n+Unit-1)/Unit*Unit, Unit) }
+// roundUp rounds n up to a multiple of Unit, at least one.
+func roundUp(n int64) int64 { return max((n+Unit-1)/Unit*Unit, Unit) }
 
-// Take marks as used what an object of the catalogue lies on, before anything is given out.
+// Take marks the bytes of a catalogued object as allocated. All calls must precede the first Alloc. It returns an error
+// if the bytes lie in no slab or are allocated already.
 func (s *Space) Take(from, n int64) error {
-	n = whole(n)
-	x := s.slab(from)
+	n = roundUp(n)
+	x := s.slabAt(from)
 	if x == nil || from%Unit != 0 || from+n > x.From+x.Len {
-		return fmt.Errorf("slabs: %d bytes from %d lie in no slab", n, from)
+		return fmt.Errorf("slabs: %d bytes at offset %d lie in no slab", n, from)
 	}
 	found := false
-	s.byFrom.Descend(run{from: from}, func(b run) bool {
-		if b.from+b.len < from+n {
+	s.freeByOffset.Descend(run{from: from}, func(b run) bool {
+		if b.from+b.length < from+n {
 			return false
 		}
 		found = true
-		s.cut(x.Cell, b)
-		s.free[x.Cell] -= b.len // what is left is added again
-		s.split(b, from, n)
+		s.removeFree(x.Cell, b)
+		s.free[x.Cell] -= b.length // addRemainder adds the rest again
+		s.addRemainder(b, from, n)
 		return false
 	})
 	if !found {
-		return fmt.Errorf("slabs: %d bytes from %d are used twice", n, from)
+		return fmt.Errorf("slabs: %d bytes at offset %d are already allocated", n, from)
 	}
-	s.used[from] = held{len: n}
+	s.allocated[from] = allocation{length: n}
 	return nil
 }
 
-// split gives back what a run has before and behind the bytes that are taken of it.
-func (s *Space) split(b run, from, n int64) {
-	for _, r := range []run{{b.from, from - b.from}, {from + n, b.from + b.len - from - n}} {
-		if r.len > 0 {
-			x := s.slab(r.from)
-			s.free[x.Cell] += r.len
-			s.byFrom.Set(r)
-			s.bySize[x.Cell].Set(r)
+// addRemainder makes the parts of run b before and after the n allocated bytes free again.
+func (s *Space) addRemainder(b run, from, n int64) {
+	for _, r := range []run{{b.from, from - b.from}, {from + n, b.from + b.length - from - n}} {
+		if r.length > 0 {
+			x := s.slabAt(r.from)
+			s.free[x.Cell] += r.length
+			s.freeByOffset.Set(r)
+			s.freeBySize[x.Cell].Set(r)
 		}
 	}
 }
 
-// Rest gives nothing out until then: what an earlier process had sent when it was killed may land anywhere that is free.
-func (s *Space) Rest(until logic.Micros) { s.still = until }
+// Rest suspends allocation until the given time: writes that an earlier process had in flight when it was killed may
+// still reach any bytes that are free now.
+func (s *Space) Rest(until logic.Micros) { s.pausedUntil = until }
 
-// Wait is how long nothing is given out yet.
-func (s *Space) Wait(now logic.Micros) logic.Micros { return max(s.still-now, 0) }
+// Wait returns the remaining time for which allocation is suspended.
+func (s *Space) Wait(now logic.Micros) logic.Micros { return max(s.pausedUntil-now, 0) }
 
-// Alloc gives out space for an object at a cell; false where no run there is large enough.
+// Alloc allocates a run for an object of n bytes at a cell; ok is false if no free run there is large enough or
+// allocation is suspended.
 func (s *Space) Alloc(now logic.Micros, cell int, n int64) (from int64, ok bool) {
-	s.pass(now)
-	t := s.bySize[cell]
-	if t == nil || s.still > now {
+	s.advance(now)
+	t := s.freeBySize[cell]
+	if t == nil || s.pausedUntil > now {
 		return 0, false
 	}
-	n = whole(n)
-	t.Ascend(run{len: n}, func(b run) bool {
+	n = roundUp(n)
+	t.Ascend(run{length: n}, func(b run) bool {
 		ok, from = true, b.from
-		s.cut(cell, b)
-		s.free[cell] -= b.len
-		s.split(b, from, n)
+		s.removeFree(cell, b)
+		s.free[cell] -= b.length
+		s.addRemainder(b, from, n)
 		return false
 	})
 	if ok {
-		s.used[from] = held{len: n}
+		s.allocated[from] = allocation{length: n}
 	}
 	return from, ok
 }
 
-// Busy says that an attempt to write a run that is given out may go on until then.
+// Busy reports that an attempt to write the allocated run may be in flight until the given time.
 func (s *Space) Busy(from int64, until logic.Micros) {
-	if h, ok := s.used[from]; ok {
-		h.until = max(h.until, until)
-		s.used[from] = h
+	if h, ok := s.allocated[from]; ok {
+		h.writableUntil = max(h.writableUntil, until)
+		s.allocated[from] = h
 	}
 }
 
-// Free takes a run back; it is given out again once nothing can land on it any more. One that is not given out is a
-// mistake of the caller's, which it is told.
+// Free frees an allocated run; it can be allocated again once no write to it can be in flight. It returns an error if
+// the run is not allocated, which is a mistake of the caller.
 func (s *Space) Free(now logic.Micros, from int64) error {
-	h, ok := s.used[from]
+	h, ok := s.allocated[from]
 	if !ok {
-		return fmt.Errorf("slabs: what lies at %d is freed twice", from)
+		return fmt.Errorf("slabs: no run is allocated at offset %d", from)
 	}
-	delete(s.used, from)
-	if h.until > now {
-		heap.Push(&s.resting, rest{run{from, h.len}, h.until})
+	delete(s.allocated, from)
+	if h.writableUntil > now {
+		heap.Push(&s.quarantine, quarantinedRun{run{from, h.length}, h.writableUntil})
 	} else {
-		s.add(run{from, h.len})
+		s.addFree(run{from, h.length})
 	}
 	return nil
 }
 
-func (s *Space) pass(now logic.Micros) {
-	for len(s.resting) > 0 && s.resting[0].until <= now {
-		s.add(heap.Pop(&s.resting).(rest).run)
+// advance frees the quarantined runs whose time has passed.
+func (s *Space) advance(now logic.Micros) {
+	for len(s.quarantine) > 0 && s.quarantine[0].until <= now {
+		s.addFree(heap.Pop(&s.quarantine).(quarantinedRun).run)
 	}
 }
 
-// Fits tells whether an object of so many bytes has room at a cell.
+// Fits reports whether a cell has a free run for an object of n bytes.
 func (s *Space) Fits(now logic.Micros, cell int, n int64) bool {
-	s.pass(now)
-	t := s.bySize[cell]
+	s.advance(now)
+	t := s.freeBySize[cell]
 	if t == nil {
 		return false
 	}
-	most, ok := t.Max()
-	return ok && most.len >= whole(n)
+	largest, ok := t.Max()
+	return ok && largest.length >= roundUp(n)
 }
 
-// Room is how much is free at a cell; what rests is not counted.
-func (s *Space) Room(now logic.Micros, cell int) int64 { s.pass(now); return s.free[cell] }
+// Room returns the free bytes of a cell without the quarantined ones.
+func (s *Space) Room(now logic.Micros, cell int) int64 { s.advance(now); return s.free[cell] }
 
-// Totals are free and used bytes over all cells; what rests is neither.
+// Totals returns the free and the allocated bytes of all cells; quarantined bytes count as neither.
 func (s *Space) Totals(now logic.Micros) (free, used int64) {
-	s.pass(now)
+	s.advance(now)
 	for _, x := range s.slabs {
 		used += x.Len / Unit * Unit
 	}
 	for _, n := range s.free {
 		free += n
 	}
-	for _, r := range s.resting {
-		used -= r.len
+	for _, r := range s.quarantine {
+		used -= r.length
 	}
 	return free, used - free
 }
--- a/slabs/slabs_test.go
+++ b/slabs/slabs_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Under any course of giving out, freeing, rests and restarts: no two runs overlap, each lies in one slab of its cell,
-// what rests is not given out early, and all that is freed is found again as one run.
+// For any sequence of allocations, frees, quarantines and restarts: no two allocated runs overlap, each lies in one
+// slab of its cell, a quarantined run is not allocated early, and freed runs merge into one per slab.
 func TestSpace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slabs := []Slab{{0, 0, 20 * Unit}, {1, 20 * Unit, 16*Unit + 100}, {0, 40 * Unit, 8 * Unit}}
@@ -19,20 +19,20 @@
 			from, n int64
 			until   logic.Micros
 		}
-		var live, resting []object
-		check := func(from, n int64, cell int) {
-			x := s.slab(from)
-			if x == nil || x.Cell != cell || from < x.From || from+whole(n) > x.From+x.Len {
-				t.Fatalf("%d bytes from %d lie in no slab of cell %d", n, from, cell)
+		var allocated, quarantined []object
+		checkRun := func(from, n int64, cell int) {
+			x := s.slabAt(from)
+			if x == nil || x.Cell != cell || from < x.From || from+roundUp(n) > x.From+x.Len {
+				t.Fatalf("%d bytes at offset %d lie in no slab of cell %d", n, from, cell)
 			}
-			for _, o := range live {
-				if from < o.from+whole(o.n) && o.from < from+whole(n) {
+			for _, o := range allocated {
+				if from < o.from+roundUp(o.n) && o.from < from+roundUp(n) {
 					t.Fatalf("%d+%d overlaps %d+%d", from, n, o.from, o.n)
 				}
 			}
-			for _, o := range resting {
-				if o.until > now && from < o.from+whole(o.n) && o.from < from+whole(n) {
-					t.Fatalf("%d+%d is given out while it rests until %d, at %d", from, n, o.until, now)
+			for _, o := range quarantined {
+				if o.until > now && from < o.from+roundUp(o.n) && o.from < from+roundUp(n) {
+					t.Fatalf("%d+%d is allocated while quarantined until %d, at %d", from, n, o.until, now)
 				}
 			}
 		}
@@ -43,15 +43,15 @@
 				fits := s.Fits(now, cell, n)
 				from, ok := s.Alloc(now, cell, n)
 				if ok != fits {
-					t.Fatalf("fits %v, given out %v", fits, ok)
+					t.Fatalf("Fits gives %v, Alloc %v", fits, ok)
 				}
 				if ok {
-					check(from, n, cell)
-					live = append(live, object{from: from, n: n})
+					checkRun(from, n, cell)
+					allocated = append(allocated, object{from: from, n: n})
 				}
-			case k < 8 && len(live) > 0:
-				i := rapid.IntRange(0, len(live)-1).Draw(t, "which")
-				o := live[i]
+			case k < 8 && len(allocated) > 0:
+				i := rapid.IntRange(0, len(allocated)-1).Draw(t, "which")
+				o := allocated[i]
 				if rapid.Bool().Draw(t, "busy") {
 					o.until = now + 500
 					s.Busy(o.from, o.until)
@@ -62,32 +62,32 @@
 				if s.Free(now, o.from) == nil {
 					t.Fatal("freed twice without an error")
 				}
-				live = append(live[:i], live[i+1:]...)
-				resting = append(resting, o)
-			case k == 8: // a restart: only what the catalogue names is used
+				allocated = append(allocated[:i], allocated[i+1:]...)
+				quarantined = append(quarantined, o)
+			case k == 8: // a restart: only the catalogued objects are allocated
 				s = New(slabs)
-				for _, o := range live {
+				for _, o := range allocated {
 					if err := s.Take(o.from, o.n); err != nil {
 						t.Fatal(err)
 					}
 				}
-				for _, o := range live {
+				for _, o := range allocated {
 					if s.Take(o.from, o.n) == nil {
 						t.Fatal("taken twice without an error")
 					}
 				}
-				resting = nil
+				quarantined = nil
 			default:
 				now += logic.Micros(rapid.IntRange(1, 800).Draw(t, "pass"))
 			}
 		}
-		for _, o := range live {
+		for _, o := range allocated {
 			s.Free(now, o.from)
 		}
 		now += 10_000
 		free, used := s.Totals(now)
-		if free != 44*Unit || used != 0 || s.byFrom.Len() != 3 || s.Room(now, 1) != 16*Unit {
-			t.Fatalf("%d bytes free, %d used, in %d runs", free, used, s.byFrom.Len())
+		if free != 44*Unit || used != 0 || s.freeByOffset.Len() != 3 || s.Room(now, 1) != 16*Unit {
+			t.Fatalf("%d bytes free, %d allocated, %d free runs", free, used, s.freeByOffset.Len())
 		}
 	})
 }
@@ -96,7 +96,7 @@
 	s := New([]Slab{{0, 0, 4 * Unit}, {1, 4 * Unit, 4 * Unit}})
 	for _, x := range [][2]int64{{-Unit, 1}, {8 * Unit, 1}, {100, 1}, {3 * Unit, 2 * Unit}} {
 		if s.Take(x[0], x[1]) == nil {
-			t.Errorf("%d bytes from %d were taken", x[1], x[0])
+			t.Errorf("%d bytes at offset %d were accepted", x[1], x[0])
 		}
 	}
 }
