--- a/ranges/ranges.go
+++ b/ranges/ranges.go
@@ -1,13 +1,13 @@
-// Package ranges decides which block requests of one volume may be out together. Package logic runs requests
-// that share a key one at a time, in the order taken; this package finds the keys, so that two changes of the
-// same blocks share one and all others do not hold each other up. It also splits requests at the ends of
-// extents and joins the answers of the pieces.
+// Package ranges decides which changes (writes) of one volume may be in flight at the same time. Package logic runs
+// requests that share a key one at a time, in the order taken. This package assigns the keys, so that overlapping
+// changes share a key and all others do not delay each other. It also splits requests at the boundaries of extents and
+// joins the answers of the pieces.
 //
-// It guards against two writes of the same bytes at a node in an order that no client asked for: the second
-// overtaking the first in another connection, or the first, thought lost, landing after the second. It could
-// harm where clients rewrite the same few blocks at great depth: those then go one at a time.
+// This prevents a node from applying two writes of the same bytes in an order that no client requested: the second may
+// overtake the first on another connection, or the first, believed lost, may arrive after the second. Drawback: if
+// clients rewrite the same few blocks with many requests in flight, those requests run one at a time.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// The package has no clock, goroutines or I/O, and no decision depends on map order.
 package ranges
 
 import (
@@ -19,32 +19,33 @@
 	"github.com/tidwall/btree"
 )
 
-// Order holds the changes of one volume that are taken and not surely over. The zero value is not usable;
-// use [New]. Its size is bounded by its caller, which bounds what it takes, and by rests, which end in time.
+// Order holds the changes of one volume that have been taken and have not certainly ended. The zero value is not
+// usable; use [New]. Its size is bounded by its caller, which limits the changes in flight, and because bytes stay
+// bound to a key for a limited time only.
 type Order struct {
-	live    *btree.BTreeG[*entry] // by first byte, then turn
-	byID    map[logic.RequestID]*entry
-	held    []*entry // in turn
-	rests   []*entry // ended ones whose bytes rest
-	longest int64    // no entry is longer
-	seq     uint64
-	nextKey func() uint64
-	freed   bool         // something ended since held was looked at
-	still   logic.Micros // every change is held until then
+	live        *btree.BTreeG[*entry] // by first byte, then seq
+	byID        map[logic.RequestID]*entry
+	held        []*entry // held back without a key, by seq
+	bound       []*entry // done, but their bytes stay bound to their keys until boundUntil
+	longest     int64    // length in bytes of the longest entry so far
+	seq         uint64
+	nextKey     func() uint64
+	recheckHeld bool         // held must be checked again: an entry was removed or got its key
+	pausedUntil logic.Micros // every change is held until then; 0: not paused
 }
 
 type entry struct {
-	id       logic.RequestID
-	seq      uint64
-	from, to int64
-	key      uint64 // 0: held back, without a key yet
-	by       logic.Micros
-	over     bool
-	bound    bool // reserved: it gets its key when Ready says so
-	rest     logic.Micros
+	id         logic.RequestID
+	seq        uint64
+	from, to   int64
+	key        uint64 // 0: held or reserved, no key yet
+	deadline   logic.Micros
+	done       bool
+	reserved   bool // Ready has not been called yet
+	boundUntil logic.Micros
 }
 
-// New makes an order that draws fresh keys, none of them zero, from nextKey.
+// New returns an empty order. NextKey must return a new key, never zero, with each call.
 func New(nextKey func() uint64) *Order {
 	less := func(a, b *entry) bool {
 		if a.from != b.from {
@@ -58,14 +59,14 @@
 	}
 }
 
-// Take admits a change of the bytes [from, to) and gives its key; ok is false where it overlaps changes of
-// more than one key, or one that is itself held back: then it is held, until [Order.Free] gives it or
-// [Order.Expired] does, once by has come.
-func (o *Order) Take(id logic.RequestID, from, to int64, by logic.Micros) (key uint64, ok bool) {
+// Take adds a change of the bytes [from, to) with a deadline and returns its key. If it overlaps changes of more than
+// one key, or a change without a key, ok is false and the change is held until [Order.Free] releases it or
+// [Order.Expired] refuses it at its deadline.
+func (o *Order) Take(id logic.RequestID, from, to int64, deadline logic.Micros) (key uint64, ok bool) {
 	o.seq++
-	e := &entry{id: id, seq: o.seq, from: from, to: to, by: by}
-	if o.still == 0 {
-		key, ok = o.find(e)
+	e := &entry{id: id, seq: o.seq, from: from, to: to, deadline: deadline}
+	if o.pausedUntil == 0 {
+		key, ok = o.findKey(e)
 	}
 	if ok {
 		e.key = key
@@ -78,28 +79,28 @@
 	return key, ok
 }
 
-// Reserve takes the place of a change in the turn of others before it is known what it will write; those behind it
-// that overlap it are held until [Order.Ready] has given it its key. It holds them up for as long as its caller takes.
+// Reserve fixes the position of a change in the order before its content is known. Later changes that overlap it are
+// held until [Order.Ready] has assigned its key, however long the caller takes.
 func (o *Order) Reserve(id logic.RequestID, from, to int64) {
 	o.seq++
-	e := &entry{id: id, seq: o.seq, from: from, to: to, bound: true}
+	e := &entry{id: id, seq: o.seq, from: from, to: to, reserved: true}
 	o.longest = max(o.longest, to-from)
 	o.byID[id] = e
 	o.live.Set(e)
 }
 
-// Ready says that a reserved change may go, until by. Like Take it gives the key, or holds it.
-func (o *Order) Ready(id logic.RequestID, by logic.Micros) (key uint64, ok bool) {
+// Ready releases a reserved change with its deadline. Like Take, it returns the key or holds the change.
+func (o *Order) Ready(id logic.RequestID, deadline logic.Micros) (key uint64, ok bool) {
 	e := o.byID[id]
-	if e == nil || !e.bound {
+	if e == nil || !e.reserved {
 		return 0, false
 	}
-	e.bound, e.by = false, by
-	if o.still == 0 {
-		key, ok = o.find(e)
+	e.reserved, e.deadline = false, deadline
+	if o.pausedUntil == 0 {
+		key, ok = o.findKey(e)
 	}
 	if ok {
-		e.key, o.freed = key, true // those behind it may go now
+		e.key, o.recheckHeld = key, true // later changes may get their keys now
 		return key, true
 	}
 	at, _ := slices.BinarySearchFunc(o.held, e, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
@@ -107,13 +108,14 @@
 	return 0, false
 }
 
-// Rest holds every change back until the given time. It guards against attempts of an earlier process that was killed:
-// which bytes they change is not known, and a node may go on with them for a while. It costs the first changes after
-// such a start that while.
-func (o *Order) Rest(until logic.Micros) { o.still = until }
+// Rest holds all changes until the given time. It protects against attempts of an earlier process that was killed: it
+// is unknown which bytes they change, and nodes may still execute them for a while. Drawback: the first changes after
+// such a start are delayed by that time.
+func (o *Order) Rest(until logic.Micros) { o.pausedUntil = until }
 
-// find is the key under which e may join: that of all it overlaps with, or a fresh one.
-func (o *Order) find(e *entry) (key uint64, ok bool) {
+// findKey returns the key for e: the one that all earlier entries that overlap it share, or a new one if there are
+// none. If they have several keys or one has none, ok is false.
+func (o *Order) findKey(e *entry) (key uint64, ok bool) {
 	ok = true
 	o.live.Ascend(&entry{from: e.from - o.longest}, func(x *entry) bool {
 		if x.from >= e.to {
@@ -135,25 +137,25 @@
 	return key, ok
 }
 
-// Done says that nothing of the request is out any more. Where an attempt of it may still run, rest is the
-// time until which its bytes stay bound to its key.
-func (o *Order) Done(id logic.RequestID, rest logic.Micros) {
+// Done reports that the request has no attempt in flight any more. If a node may still execute one of its attempts,
+// its bytes stay bound to its key until boundUntil; 0: not bound.
+func (o *Order) Done(id logic.RequestID, boundUntil logic.Micros) {
 	e := o.byID[id]
-	if e == nil || e.over {
+	if e == nil || e.done {
 		return
 	}
-	e.over, e.rest = true, rest
+	e.done, e.boundUntil = true, boundUntil
 	delete(o.byID, id)
-	if rest > 0 {
-		o.rests = append(o.rests, e)
+	if boundUntil > 0 {
+		o.bound = append(o.bound, e)
 		return
 	}
-	o.drop(e)
+	o.remove(e)
 }
 
-func (o *Order) drop(e *entry) {
+func (o *Order) remove(e *entry) {
 	o.live.Delete(e)
-	o.freed = true
+	o.recheckHeld = true
 	for i, x := range o.held {
 		if x == e {
 			o.held = append(o.held[:i], o.held[i+1:]...)
@@ -162,91 +164,92 @@
 	}
 }
 
-// Free calls take for each held request that may go now, in their turn.
+// Free calls take for each held request that can get a key now, in the order taken.
 func (o *Order) Free(now logic.Micros, take func(id logic.RequestID, key uint64)) {
-	if o.still > now {
+	if o.pausedUntil > now {
 		return
-	} else if o.still > 0 {
-		o.still, o.freed = 0, true
+	} else if o.pausedUntil > 0 {
+		o.pausedUntil, o.recheckHeld = 0, true
 	}
-	if len(o.rests) > 0 {
-		keep := o.rests[:0]
-		for _, e := range o.rests {
-			if e.rest > now {
-				keep = append(keep, e)
+	if len(o.bound) > 0 {
+		stillBound := o.bound[:0]
+		for _, e := range o.bound {
+			if e.boundUntil > now {
+				stillBound = append(stillBound, e)
 			} else {
-				o.drop(e)
+				o.remove(e)
 			}
 		}
-		clear(o.rests[len(keep):])
-		o.rests = keep
+		clear(o.bound[len(stillBound):])
+		o.bound = stillBound
 	}
-	if !o.freed || len(o.held) == 0 {
-		o.freed = false
+	if !o.recheckHeld || len(o.held) == 0 {
+		o.recheckHeld = false
 		return
 	}
-	o.freed = false
-	keep := o.held[:0]
+	o.recheckHeld = false
+	stillHeld := o.held[:0]
 	for _, e := range o.held {
-		if key, ok := o.find(e); ok {
+		if key, ok := o.findKey(e); ok {
 			e.key = key
 			take(e.id, key)
 		} else {
-			keep = append(keep, e)
+			stillHeld = append(stillHeld, e)
 		}
 	}
-	clear(o.held[len(keep):])
-	o.held = keep
+	clear(o.held[len(stillHeld):])
+	o.held = stillHeld
 }
 
-// Expired calls refuse for each held request whose time has come. None of them was ever sent, so to refuse
-// them keeps what a refusal promises.
+// Expired removes each held request whose deadline has passed and calls refuse for it. None of them was ever sent, so a
+// refusal's promise of no effect holds.
 func (o *Order) Expired(now logic.Micros, refuse func(id logic.RequestID)) {
-	var due []*entry
+	var expired []*entry
 	for _, e := range o.held {
-		if e.by <= now {
-			due = append(due, e)
+		if e.deadline <= now {
+			expired = append(expired, e)
 		}
 	}
-	for _, e := range due {
+	for _, e := range expired {
 		o.Done(e.id, 0)
 		refuse(e.id)
 	}
 }
 
-// Next is the soonest time at which Free or Expired could do something by the passing of time alone; 0: never.
+// Next returns the earliest time at which Free or Expired has something to do without any other call; 0: never.
 func (o *Order) Next() (at logic.Micros) {
 	for _, e := range o.held {
-		if at == 0 || e.by < at {
-			at = e.by
+		if at == 0 || e.deadline < at {
+			at = e.deadline
 		}
 	}
-	for _, e := range o.rests {
-		if at == 0 || e.rest < at {
-			at = e.rest
+	for _, e := range o.bound {
+		if at == 0 || e.boundUntil < at {
+			at = e.boundUntil
 		}
 	}
-	if o.still > 0 && len(o.held) > 0 {
-		at = min(at, o.still)
+	if o.pausedUntil > 0 && len(o.held) > 0 {
+		at = min(at, o.pausedUntil)
 	}
 	return at
 }
 
-// Len is how many changes it holds: live, held back, and resting.
-func (o *Order) Len() (live, held, resting int) { return len(o.byID), len(o.held), len(o.rests) }
+// Len returns the number of changes that are not done, of those among them that are held, and of done changes whose
+// bytes are still bound.
+func (o *Order) Len() (live, held, bound int) { return len(o.byID), len(o.held), len(o.bound) }
 
-// Answer is how a piece of a request ended.
+// Answer is the result of a request or of a piece of it.
 type Answer uint8
 
 const (
 	Served  Answer = iota
-	Refused        // nothing was done, or doing it again is harmless
-	Failed         // no promise
+	Refused        // nothing was done, or repeating it is harmless
+	Failed         // no promise: it may have run
 )
 
-// Join is the one answer of a request of which some pieces ended so and the next one ended like that. A whole
-// is refused only where a retry of the whole is harmless: a piece that was served has run, so a class that
-// must not run twice has failed.
+// Join combines whole, the answer of the pieces so far, with the answer of the next piece; first is true for the first
+// piece. A partly served request is refused only if repeating all of it is harmless: a served piece has run, so a
+// request of a class that must not run twice has failed.
 func Join(whole, piece Answer, first bool, repeat logic.Repeat) Answer {
 	switch {
 	case first || whole == piece:
@@ -259,8 +262,8 @@
 	return Failed
 }
 
-// Split calls piece for each part of [from, from+n) by the ends of the runs that cover it. Run gives the end
-// of the run that holds a byte; it must lie behind that byte.
+// Split splits [from, from+n) at the ends of the runs that cover it and calls piece for each part. Run returns the end
+// of the run that contains a byte; it must be greater than the position of the byte.
 func Split(from, n int64, run func(at int64) (end int64), piece func(from, n int64)) {
 	for end := from + n; from < end; {
 		to := min(run(from), end)
--- a/ranges/ranges_test.go
+++ b/ranges/ranges_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-func keys() func() uint64 {
+func newKeySource() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n }
 }
 
 func TestKeys(t *testing.T) {
-	o := New(keys())
+	o := New(newKeySource())
 	take := func(id logic.RequestID, from, to int64, wantKey uint64, wantOK bool) {
 		t.Helper()
 		if key, ok := o.Take(id, from, to, 1000); ok != wantOK || ok && key != wantKey {
@@ -22,50 +22,51 @@
 		}
 	}
 	take(1, 0, 10, 1, true)
-	take(2, 10, 20, 2, true)  // touches 1, overlaps nothing
+	take(2, 10, 20, 2, true)  // adjacent to 1, overlaps nothing
 	take(3, 5, 8, 1, true)    // inside 1: shares its key
 	take(4, 8, 12, 0, false)  // overlaps two keys: held
-	take(5, 11, 13, 0, false) // overlaps a held one, which must go first
+	take(5, 11, 13, 0, false) // overlaps a held change, which goes first
 	take(6, 30, 40, 3, true)
 
 	var free []logic.RequestID
-	look := func(now logic.Micros) []logic.RequestID {
+	freeAt := func(now logic.Micros) []logic.RequestID {
 		free = nil
 		o.Free(now, func(id logic.RequestID, _ uint64) { free = append(free, id) })
 		return free
 	}
-	if got := look(1); len(got) != 0 {
+	if got := freeAt(1); len(got) != 0 {
 		t.Errorf("freed %v before anything ended", got)
 	}
-	o.Done(2, 50) // its bytes rest until 50
-	if got := look(49); len(got) != 0 {
-		t.Errorf("freed %v while the bytes of 2 rest", got)
+	o.Done(2, 50) // its bytes stay bound until 50
+	if got := freeAt(49); len(got) != 0 {
+		t.Errorf("freed %v while the bytes of 2 are bound", got)
 	}
 	if o.Next() != 50 {
-		t.Errorf("next is %d, want the end of the rest at 50", o.Next())
+		t.Errorf("Next gives %d, want 50, when the bytes of 2 are released", o.Next())
 	}
-	if got := look(50); len(got) != 2 || got[0] != 4 || got[1] != 5 {
-		t.Errorf("freed %v, want 4 and 5 in their turn", got)
+	if got := freeAt(50); len(got) != 2 || got[0] != 4 || got[1] != 5 {
+		t.Errorf("freed %v, want 4 and 5 in this order", got)
 	}
 }
 
-// A request that rests binds later overlapping ones to its key, so that logic's own rest of the key holds them.
+// A done request whose bytes are bound gives later overlapping requests its key, so that package logic delays them as
+// long as it blocks the key.
 func TestRestBindsKey(t *testing.T) {
-	o := New(keys())
+	o := New(newKeySource())
 	o.Take(1, 0, 10, 1000)
 	o.Done(1, 70)
 	if key, ok := o.Take(2, 4, 6, 1000); !ok || key != 1 {
-		t.Errorf("key %d, %v; want the resting key 1", key, ok)
+		t.Errorf("key %d, %v; want the bound key 1", key, ok)
 	}
 }
 
-// A reserved place holds what comes behind it and overlaps, and itself waits for what was before it.
+// A reserved change holds later changes that overlap it, and itself waits for earlier ones.
 func TestReserve(t *testing.T) {
-	o := New(keys())
+	o := New(newKeySource())
 	o.Take(1, 0, 10, 1000)
 	o.Reserve(2, 5, 15)
 	if _, ok := o.Take(3, 12, 20, 1000); ok {
-		t.Fatal("taken past a reserved place")
+		t.Fatal("a change got ahead of an overlapping reserved one")
 	}
 	if _, ok := o.Take(4, 20, 30, 1000); !ok {
 		t.Fatal("held though it overlaps nothing")
@@ -78,10 +79,10 @@
 	}
 	o.Done(4, 0)
 	if len(free()) > 0 {
-		t.Fatalf("freed %v before the reserved one is ready", got)
+		t.Fatalf("freed %v before the reserved change is ready", got)
 	}
 	if key, ok := o.Ready(2, 1000); !ok || key != 1 {
-		t.Fatalf("key %d, %v; it overlaps what has key 1", key, ok)
+		t.Fatalf("key %d, %v; want key 1 of the change that it overlaps", key, ok)
 	}
 	if free(); len(got) != 1 || got[0] != 3 {
 		t.Fatalf("freed %v, want 3", got)
@@ -89,18 +90,18 @@
 	o.Reserve(5, 0, 40)
 	o.Take(6, 0, 1, 1000)
 	o.Take(7, 2, 3, 1000)
-	o.Done(5, 0) // given up without ever being ready
+	o.Done(5, 0) // dropped without a call of Ready
 	if free(); len(got) != 2 {
 		t.Fatalf("freed %v, want 6 and 7", got)
 	}
 	if _, ok := o.Ready(5, 1); ok {
-		t.Fatal("ready after its end")
+		t.Fatal("Ready gives a key after Done")
 	}
-	// After a start all rest, the reserved one too.
+	// While all changes are paused after a start, a reserved one is held too.
 	o.Rest(100)
 	o.Reserve(8, 50, 60)
 	if _, ok := o.Ready(8, 1000); ok {
-		t.Fatal("ready while all rests")
+		t.Fatal("Ready gives a key while all changes are paused")
 	}
 	o.Free(100, func(id logic.RequestID, _ uint64) { got = append(got, id) })
 	if got[len(got)-1] != 8 {
@@ -109,7 +110,7 @@
 }
 
 func TestExpired(t *testing.T) {
-	o := New(keys())
+	o := New(newKeySource())
 	o.Take(1, 0, 10, 1000)
 	o.Take(2, 10, 20, 1000)
 	o.Take(3, 5, 15, 100)
@@ -130,25 +131,25 @@
 		}
 	})
 	if freed != 1 {
-		t.Errorf("%d freed once the one held before it was refused, want 1", freed)
+		t.Errorf("%d freed after the change held before it was refused, want 1", freed)
 	}
 }
 
-// Whatever comes and ends in whatever order: two live changes that overlap have the same key, no key is given
-// to one while an earlier overlapping one is held, and in the end everything that came has been let go.
+// For any sequence of changes and ends: two live changes that overlap have the same key, no change gets a key while an
+// earlier overlapping one is held, and finally all changes have been released.
 func TestOverlapsShareKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type change struct {
 			from, to int64
 			key      uint64
-			turn     int
+			position int
 		}
-		o, now, id := New(keys()), logic.Micros(0), logic.RequestID(0)
+		o, now, id := New(newKeySource()), logic.Micros(0), logic.RequestID(0)
 		live := map[logic.RequestID]*change{}
 		var ids []logic.RequestID
-		given := map[logic.RequestID]bool{}
-		check := func(at logic.RequestID) {
-			given[at] = true
+		released := map[logic.RequestID]bool{}
+		checkKey := func(at logic.RequestID) {
+			released[at] = true
 			a := live[at]
 			for other, b := range live {
 				if other == at || a.from >= b.to || b.from >= a.to {
@@ -157,13 +158,13 @@
 				if b.key != 0 && b.key != a.key {
 					t.Fatalf("%d and %d overlap under keys %d and %d", at, other, a.key, b.key)
 				}
-				if b.key == 0 && b.turn < a.turn {
-					t.Fatalf("%d goes before %d, which came first and is held", at, other)
+				if b.key == 0 && b.position < a.position {
+					t.Fatalf("%d got a key before %d, which is earlier and held", at, other)
 				}
 			}
 		}
 		free := func() {
-			o.Free(now, func(id logic.RequestID, key uint64) { live[id].key = key; check(id) })
+			o.Free(now, func(id logic.RequestID, key uint64) { live[id].key = key; checkKey(id) })
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += logic.Micros(rapid.IntRange(0, 20).Draw(t, "pass"))
@@ -176,7 +177,7 @@
 				ids = append(ids, id)
 				if ok {
 					c.key = key
-					check(id)
+					checkKey(id)
 				}
 			} else {
 				i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
@@ -201,19 +202,19 @@
 				}
 			}
 			if !ended {
-				t.Fatalf("%d changes are held for good", len(ids))
+				t.Fatalf("%d changes are held forever", len(ids))
 			}
 			free()
 		}
 		if l, h, r := o.Len(); l+h+r != 0 || o.live.Len() != 0 {
-			t.Fatalf("%d live, %d held, %d resting, %d kept at the end", l, h, r, o.live.Len())
+			t.Fatalf("%d live, %d held, %d bound, %d entries left at the end", l, h, r, o.live.Len())
 		}
 	})
 }
 
-// After a start that follows a kill every change waits once, then all go on as if they had just come.
+// After a start that follows a kill all changes are held once, and then released as if they had just arrived.
 func TestRest(t *testing.T) {
-	o := New(keys())
+	o := New(newKeySource())
 	o.Rest(500)
 	for id := logic.RequestID(1); id <= 3; id++ {
 		if _, ok := o.Take(id, int64(id)*10, int64(id)*10+11, 1000); ok {
@@ -221,7 +222,7 @@
 		}
 	}
 	if o.Next() != 500 {
-		t.Errorf("next is %d, want the end of the rest", o.Next())
+		t.Errorf("Next gives %d, want 500, the end of the pause", o.Next())
 	}
 	free := func(now logic.Micros) (got map[logic.RequestID]uint64) {
 		got = map[logic.RequestID]uint64{}
@@ -229,13 +230,13 @@
 		return got
 	}
 	if got := free(499); len(got) != 0 {
-		t.Errorf("freed %v within the rest", got)
+		t.Errorf("freed %v during the pause", got)
 	}
 	if got := free(500); len(got) != 3 || got[1] != got[2] || got[2] != got[3] {
 		t.Errorf("freed %v, want all three, which overlap, under one key", got)
 	}
 	if _, ok := o.Take(4, 100, 110, 1000); !ok {
-		t.Error("held after the rest")
+		t.Error("held after the pause")
 	}
 }
 
@@ -258,7 +259,7 @@
 			got = Join(got, p, i == 0, c.repeat)
 		}
 		if got != c.want {
-			t.Errorf("%v of class %d come to %d, want %d", c.pieces, c.repeat, got, c.want)
+			t.Errorf("%v of class %d joined to %d, want %d", c.pieces, c.repeat, got, c.want)
 		}
 	}
 }
@@ -274,8 +275,8 @@
 }
 
 func BenchmarkTakeDone(b *testing.B) {
-	o := New(keys())
-	for i := range 256 { // as many live as a deep volume has
+	o := New(newKeySource())
+	for i := range 256 { // as many live changes as a volume with a deep queue has
 		o.Take(logic.RequestID(i), int64(i)*4096, int64(i+1)*4096, 1)
 	}
 	b.ReportAllocs()
