--- a/locks/locks.go
+++ b/locks/locks.go
@@ -1,10 +1,11 @@
-// Package locks decides on the write locks of a tree of names (RFC 4918, sections 6 and 7): which may be granted, what a
-// request must show to change a name, and when a lock is over. Names are slash-separated paths, "/" the root.
+// Package locks implements the write locks of a tree of names (RFC 4918, sections 6 and 7): which locks may be granted,
+// which tokens a request must submit to change a name, and when a lock expires. Names are slash-separated paths; "/" is
+// the root.
 //
-// It guards against two programs that each believe to hold a name alone, also over a restart: what is kept is plain data.
-// It could harm where clients lock and never unlock: until its time is over a lock keeps others away.
+// It prevents two programs from both assuming exclusive access to a name, also over a restart: locks are plain data
+// that the caller can store. Drawback: if a client never unlocks a name, the lock excludes others until it expires.
 //
-// It has no clock, goroutine or I/O, and never acts on map order.
+// The package has no clock, goroutines or I/O, and no decision depends on map order.
 package locks
 
 import (
@@ -17,57 +18,57 @@
 	"github.com/tidwall/btree"
 )
 
-// Lock is a lock as it is kept. Times are seconds since 1970.
+// Lock is a lock in its stored form. Times are in seconds since 1970.
 type Lock struct {
 	Token   string
-	Root    string // the name it was asked for
-	Deep    bool   // and all below
+	Root    string // name that the lock was requested for
+	Deep    bool   // also covers all names below Root
 	Shared  bool
-	Owner   string // XML, as the client gave it
+	Owner   string // XML, as sent by the client
 	User    string
 	Expires int64
-	Length  int64 // seconds that it was granted for
+	Length  int64 // granted timeout in seconds
 }
 
-// Bounds of the table.
+// Limits of the table: the number of locks and their timeout.
 const (
 	Most        = 100_000
 	MostSeconds = 7 * 24 * 3600
-	// usual is how long a lock lasts whose client does not say.
-	usual = 600
+	// defaultSeconds is the timeout of a lock whose client requests none.
+	defaultSeconds = 600
 )
 
-// Errors.
+// Errors returned by the methods of Table.
 var (
 	ErrLocked  = errors.New("locks: locked")
 	ErrUnknown = errors.New("locks: no such lock")
 	ErrFull    = errors.New("locks: too many locks")
 )
 
-// Conflict names the lock in the way; it is an ErrLocked.
+// Conflict names the root of a conflicting lock. It matches ErrLocked.
 type Conflict struct{ Root string }
 
 func (c *Conflict) Error() string   { return fmt.Sprintf("locks: %s is locked", c.Root) }
 func (c *Conflict) Is(e error) bool { return e == ErrLocked }
 
-// Table is all locks of a tree.
+// Table holds all locks of a tree.
 type Table struct {
 	byToken map[string]*Lock
 	byRoot  btree.Map[string, []*Lock]
 }
 
-// New makes a table of what was kept; what is over by now is left out.
+// New returns a table of the stored locks without those that have expired.
 func New(now int64, kept []Lock) *Table {
 	t := &Table{byToken: map[string]*Lock{}}
 	for _, l := range kept {
 		if l.Expires > now && t.byToken[l.Token] == nil {
-			t.add(&l)
+			t.insert(&l)
 		}
 	}
 	return t
 }
 
-func (t *Table) add(l *Lock) {
+func (t *Table) insert(l *Lock) {
 	t.byToken[l.Token] = l
 	at, _ := t.byRoot.Get(l.Root)
 	t.byRoot.Set(l.Root, append(slices.Clone(at), l))
@@ -83,24 +84,24 @@
 	}
 }
 
-// Expire takes away what is over and gives its tokens, at most so many.
-func (t *Table) Expire(now int64, most int) (gone []string) {
+// Expire removes expired locks, at most maxLocks, and returns their tokens.
+func (t *Table) Expire(now int64, maxLocks int) (expired []string) {
 	t.byRoot.Scan(func(_ string, at []*Lock) bool {
 		for _, l := range at {
-			if l.Expires <= now && len(gone) < most {
-				gone = append(gone, l.Token)
+			if l.Expires <= now && len(expired) < maxLocks {
+				expired = append(expired, l.Token)
 			}
 		}
-		return len(gone) < most
+		return len(expired) < maxLocks
 	})
-	for _, token := range gone {
+	for _, token := range expired {
 		t.remove(t.byToken[token])
 	}
-	return gone
+	return expired
 }
 
-// parents calls f for a name and each above it.
-func parents(name string, f func(name string, self bool) bool) {
+// forEachAncestor calls f for a name, with self set, and then for each name above it, until f returns false.
+func forEachAncestor(name string, f func(name string, self bool) bool) {
 	for self := true; ; self = false {
 		if !f(name, self) || name == "/" {
 			return
@@ -111,10 +112,11 @@
 	}
 }
 
-// On calls f for each lock that covers a name, the nearest first; with below set also for those on names below it.
+// On calls f for each lock that covers a name, the one with the nearest root first, and with below set also for those
+// on names below it, until f returns false.
 func (t *Table) On(now int64, name string, below bool, f func(l *Lock) bool) {
 	more := true
-	parents(name, func(n string, self bool) bool {
+	forEachAncestor(name, func(n string, self bool) bool {
 		at, _ := t.byRoot.Get(n)
 		for _, l := range at {
 			if more = more && (l.Expires <= now || !self && !l.Deep || f(l)); !more {
@@ -140,8 +142,9 @@
 	})
 }
 
-// Grant makes a lock, unless another is in the way: an exclusive one suffers none beside it, above or, where it is deep,
-// below; a shared one only shared ones.
+// Grant adds a lock unless another lock that covers its root conflicts with it, or, if it is deep, one on a name below
+// its root. Two locks conflict unless both are shared. It returns the lock with its expiry time, a Conflict, or
+// ErrFull.
 func (t *Table) Grant(now int64, l Lock) (*Lock, error) {
 	if len(t.byToken) >= Most {
 		if t.Expire(now, Most); len(t.byToken) >= Most {
@@ -158,16 +161,16 @@
 	if err != nil {
 		return nil, err
 	}
-	l.Length = min(cmp.Or(max(l.Length, 0), usual), MostSeconds)
+	l.Length = min(cmp.Or(max(l.Length, 0), defaultSeconds), MostSeconds)
 	l.Expires = now + l.Length
 	if t.byToken[l.Token] != nil {
-		return nil, fmt.Errorf("locks: token %q stands twice", l.Token)
+		return nil, fmt.Errorf("locks: token %q already exists", l.Token)
 	}
-	t.add(&l)
+	t.insert(&l)
 	return &l, nil
 }
 
-// Refresh lets a lock that covers a name last anew; length 0 is as long as before.
+// Refresh restarts the timeout of a lock that covers a name. A length of 0 keeps the previous timeout.
 func (t *Table) Refresh(now int64, name, token, user string, length int64) (*Lock, error) {
 	l := t.byToken[token]
 	if l == nil || l.Expires <= now || !l.covers(name) || l.User != user {
@@ -184,7 +187,7 @@
 	return l.Root == name || l.Deep && strings.HasPrefix(name, strings.TrimSuffix(l.Root, "/")+"/")
 }
 
-// Unlock takes a lock away that covers the name.
+// Unlock removes a lock that covers the name.
 func (t *Table) Unlock(now int64, name, token, user string) error {
 	l := t.byToken[token]
 	if l == nil || l.Expires <= now || !l.covers(name) || l.User != user {
@@ -194,38 +197,40 @@
 	return nil
 }
 
-// May tells whether a user who shows tokens may change a name, and with below set all below it. Of several shared locks
-// one token is enough; a token is its user's alone.
+// May returns nil if a user who submits tokens may change a name, and with below set all names below it; else it
+// returns a Conflict. Of several shared locks with the same root one token is sufficient. A token is valid for its own
+// user only.
 func (t *Table) May(now int64, name string, below bool, user string, tokens []string) error {
-	type place struct{ shown bool }
-	state := map[string]*place{} // by root
+	type rootState struct{ hasToken bool }
+	stateByRoot := map[string]*rootState{}
 	var order []string
 	t.On(now, name, below, func(l *Lock) bool {
-		p := state[l.Root]
-		if p == nil {
-			p = &place{}
-			state[l.Root] = p
+		state := stateByRoot[l.Root]
+		if state == nil {
+			state = &rootState{}
+			stateByRoot[l.Root] = state
 			order = append(order, l.Root)
 		}
-		p.shown = p.shown || l.User == user && slices.Contains(tokens, l.Token)
+		state.hasToken = state.hasToken || l.User == user && slices.Contains(tokens, l.Token)
 		return true
 	})
 	for _, root := range order {
-		if !state[root].shown {
+		if !stateByRoot[root].hasToken {
 			return &Conflict{root}
 		}
 	}
 	return nil
 }
 
-// Holds tells whether a token is that of a lock that covers a name: a state that an If header may ask for.
+// Holds reports whether a token belongs to a lock that covers a name, a condition that an If header may state.
 func (t *Table) Holds(now int64, name, token string) bool {
 	l := t.byToken[token]
 	return l != nil && l.Expires > now && l.covers(name)
 }
 
-// Drop takes away the locks on a name and all below it, as when it is deleted or moved, and gives their tokens.
-func (t *Table) Drop(name string) (gone []string) {
+// Drop removes the locks on a name and all names below it, as needed when it is deleted or moved, and returns their
+// tokens.
+func (t *Table) Drop(name string) (tokens []string) {
 	var all []*Lock
 	prefix := strings.TrimSuffix(name, "/") + "/"
 	if at, ok := t.byRoot.Get(name); ok {
@@ -242,10 +247,10 @@
 	})
 	for _, l := range all {
 		t.remove(l)
-		gone = append(gone, l.Token)
+		tokens = append(tokens, l.Token)
 	}
-	return gone
+	return tokens
 }
 
-// Len is how many there are, those that are over included until Expire.
+// Len returns the number of locks, including expired ones that Expire has not removed yet.
 func (t *Table) Len() int { return len(t.byToken) }
--- a/locks/locks_test.go
+++ b/locks/locks_test.go
@@ -11,8 +11,8 @@
 
 func TestGrant(t *testing.T) {
 	for _, x := range []struct {
-		have, ask Lock
-		ok        bool
+		held, requested Lock
+		ok              bool
 	}{
 		{Lock{Root: "/a"}, Lock{Root: "/a"}, false},
 		{Lock{Root: "/a", Shared: true}, Lock{Root: "/a", Shared: true}, true},
@@ -28,16 +28,16 @@
 		{Lock{Root: "/a", Deep: true}, Lock{Root: "/ab"}, true},
 	} {
 		tb := New(100, nil)
-		x.have.Token, x.ask.Token, x.have.Length, x.ask.Length = "1", "2", 10, 10
-		if _, err := tb.Grant(100, x.have); err != nil {
+		x.held.Token, x.requested.Token, x.held.Length, x.requested.Length = "1", "2", 10, 10
+		if _, err := tb.Grant(100, x.held); err != nil {
 			t.Fatal(err)
 		}
-		_, err := tb.Grant(105, x.ask)
+		_, err := tb.Grant(105, x.requested)
 		if (err == nil) != x.ok || err != nil && !errors.Is(err, ErrLocked) {
-			t.Errorf("%+v beside %+v: %v", x.ask, x.have, err)
+			t.Errorf("%+v beside %+v: %v", x.requested, x.held, err)
 		}
-		if _, err := tb.Grant(110, Lock{Root: x.ask.Root, Deep: true, Token: "3", Length: 1}); (err == nil) != (!x.ok) {
-			t.Errorf("%+v after %+v is over: %v", x.ask, x.have, err)
+		if _, err := tb.Grant(110, Lock{Root: x.requested.Root, Deep: true, Token: "3", Length: 1}); (err == nil) != (!x.ok) {
+			t.Errorf("%+v after %+v has expired: %v", x.requested, x.held, err)
 		}
 	}
 }
@@ -45,17 +45,17 @@
 func TestUse(t *testing.T) {
 	tb := New(0, []Lock{{Token: "old", Root: "/x", Expires: 5}, {Token: "d", Root: "/d", Deep: true, User: "ann", Expires: 100, Length: 50}})
 	if tb.Len() != 2 || len(New(10, []Lock{{Token: "old", Expires: 5}}).byToken) != 0 {
-		t.Fatal("what is over was taken up, or what is not was left out")
+		t.Fatal("an expired lock was restored, or a valid one was left out")
 	}
 	if got := tb.Expire(5, 10); len(got) != 1 || got[0] != "old" {
-		t.Errorf("%v are over", got)
+		t.Errorf("Expire removed %v", got)
 	}
 	locked := func(name string, below bool, user string, tokens ...string) bool {
 		return tb.May(10, name, below, user, tokens) != nil
 	}
 	if !locked("/d/e", false, "ann") || locked("/d/e", false, "ann", "x", "d") || !locked("/d/e", false, "bob", "d") || locked("/", false, "bob") ||
 		!locked("/", true, "bob") || locked("/e", true, "bob") {
-		t.Error("who may change what")
+		t.Error("May allows or denies a change wrongly")
 	}
 	if _, err := tb.Refresh(20, "/d/e", "d", "bob", 0); err == nil {
 		t.Error("refreshed by another user")
@@ -64,20 +64,20 @@
 		t.Errorf("%+v, %v", l, err)
 	}
 	if tb.Unlock(20, "/e", "d", "ann") == nil || !tb.Holds(20, "/d/e/f", "d") || tb.Holds(80, "/d", "d") || tb.Holds(20, "/e", "d") {
-		t.Error("a lock covers what it should not, or not what it should")
+		t.Error("a lock covers a wrong name or does not cover a right one")
 	}
 	if got := tb.Drop("/"); len(got) != 1 || tb.Len() != 0 {
 		t.Errorf("%v dropped", got)
 	}
 }
 
-// Against a plain list: what is granted never conflicts, and May agrees with it.
+// Compares the table with a plain list of locks: Grant, May and Unlock must give the same results.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb, now := New(0, nil), int64(0)
 		names := []string{"/", "/a", "/a/b", "/a/b/c", "/ab", "/a/bc"}
 		var list []Lock
-		under := func(name, root string) bool {
+		isUnder := func(name, root string) bool {
 			return name == root || root == "/" || strings.HasPrefix(name, root+"/")
 		}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -87,8 +87,8 @@
 					Shared: rapid.Bool().Draw(t, "shared"), Length: rapid.Int64Range(1, 9).Draw(t, "length")}
 				free := true
 				for _, o := range list {
-					touch := o.Root == l.Root || o.Deep && under(l.Root, o.Root) || l.Deep && under(o.Root, l.Root)
-					free = free && (o.Expires <= now || !touch || o.Shared && l.Shared)
+					overlaps := o.Root == l.Root || o.Deep && isUnder(l.Root, o.Root) || l.Deep && isUnder(o.Root, l.Root)
+					free = free && (o.Expires <= now || !overlaps || o.Shared && l.Shared)
 				}
 				got, err := tb.Grant(now, l)
 				if (err == nil) != free {
@@ -103,7 +103,7 @@
 				name, below := rapid.SampledFrom(names).Draw(t, "name"), rapid.Bool().Draw(t, "below")
 				free := true
 				for _, o := range list {
-					if o.Expires > now && (o.Root == name || o.Deep && under(name, o.Root) || below && under(o.Root, name)) {
+					if o.Expires > now && (o.Root == name || o.Deep && isUnder(name, o.Root) || below && isUnder(o.Root, name)) {
 						free = false
 					}
 				}
