--- a/copies/copies.go
+++ b/copies/copies.go
@@ -394,7 +394,7 @@
 	}
 	s.evaluate(now, c)
 	s.finishIfDone(now, c)
-	for _, o := range slices.Clone(s.active) { // the change that ended may have prevented a move of the lead that o waits for
+	for _, o := range slices.Clone(s.active) { // c may have prevented a move of a lead that o waits for
 		if !o.answered && o != c && o.Held != 0 && (o.Over == o.Sent || o.leadWaitUntil == 0) && o.overlaps(c.From-s.settings.Region, c.To+s.settings.Region) {
 			s.evaluate(now, o)
 			s.finishIfDone(now, o)
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -299,8 +299,8 @@
 		{1, []Seen{away, home}, 0, false, false},                         // the copy at home is stale
 		{3, []Seen{away, late(home, 90)}, 1, false, true},                // slower, but within the aim
 		{3, []Seen{away, late(home, 200)}, 0, true, true},                // beyond the aim at home
-		{3, []Seen{late(away, 180), late(home, 200)}, 1, false, true},    // beyond the aim everywhere, less than twice as fast elsewhere
-		{3, []Seen{late(away, 150), late(home, 2000)}, 0, true, true},    // beyond the aim everywhere, more than twice as fast elsewhere
+		{3, []Seen{late(away, 180), late(home, 200)}, 1, false, true},    // all beyond the aim, away not twice as fast
+		{3, []Seen{late(away, 150), late(home, 2000)}, 0, true, true},    // all beyond the aim, away twice as fast
 		{7, []Seen{late(home, 50), home, away}, 1, false, true},          // the faster of two at home
 		{3, []Seen{down, away}, 1, false, false},                         //
 		{3, []Seen{down, down}, 0, false, false},                         // none is ready: the lowest, which refuses
@@ -366,7 +366,7 @@
 	}
 	filled := map[int64]bool{}
 	calls, first := 0, 0
-	for ; len(filled) < 10 && calls < 100; calls++ { // only regions led by copy 1 can be caught up: copy 0 is the only target, as copy 1 waits
+	for ; len(filled) < 10 && calls < 100; calls++ { // copy 1 waits: only what it leads can be caught up
 		b.Set.catchUpNotBefore[1] = b.now + sec
 		f, ok, wait := b.Fill(b.now, 3)
 		if !ok && wait > scanPause {
