--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -413,8 +413,8 @@
 
 func checkModel(t *rapid.T) {
 	n := rapid.IntRange(2, 3).Draw(t, "copies")
-	cfg := Settings{n, rapid.IntRange(1, n).Draw(t, "hold"), 4, numBlocks}
-	set, _ := New(cfg)
+	config := Settings{n, rapid.IntRange(1, n).Draw(t, "hold"), 4, numBlocks}
+	set, _ := New(config)
 	now := sec
 	disk := make([][]int, n)
 	for i := range disk {
@@ -422,16 +422,16 @@
 	}
 	queue := make([][]*send, n) // by copy, in the order of the changes, which the caller must keep
 	marks := map[int64]int{}
-	var keeps []Output
+	var pendingMarkOutputs []Output
 	acked := make([]int, numBlocks)
 	values := 0
-	var live []*change
+	var begun []*change
 	process := func() {
 		for out := set.Out(); len(out) > 0; out = set.Out() {
 			for _, o := range out {
 				switch o.Kind {
 				case Keep, Forget:
-					keeps = append(keeps, o)
+					pendingMarkOutputs = append(pendingMarkOutputs, o)
 				case Send:
 					c := o.Change.Owner.(*change)
 					values++ // changes are ordered as they are sent
@@ -494,15 +494,15 @@
 			c := &change{}
 			c.From, c.To, c.Owner = from, rapid.Int64Range(from+1, min(from+5, numBlocks)).Draw(t, "to"), c
 			c.Aim, c.By = rapid.SampledFrom([]logic.Micros{2 * ms, 100 * ms}).Draw(t, "aim"), now+sec
-			live = append(live, c)
+			begun = append(begun, c)
 			set.Begin(now, &c.Change, Mask(rapid.IntRange(0, 1<<n-1).Draw(t, "ready")))
 		},
 		"keep": func(t *rapid.T) {
-			if len(keeps) == 0 {
+			if len(pendingMarkOutputs) == 0 {
 				t.Skip()
 			}
-			o := keeps[0]
-			keeps = keeps[1:]
+			o := pendingMarkOutputs[0]
+			pendingMarkOutputs = pendingMarkOutputs[1:]
 			if o.Kind == Forget {
 				delete(marks, o.Mark.Region)
 				return
@@ -551,8 +551,8 @@
 			}
 		},
 		"gone": func(t *rapid.T) {
-			if len(live) > 0 {
-				set.Gone(now, &live[rapid.IntRange(0, len(live)-1).Draw(t, "which")].Change)
+			if len(begun) > 0 {
+				set.Gone(now, &begun[rapid.IntRange(0, len(begun)-1).Draw(t, "which")].Change)
 			}
 		},
 		"pass": func(t *rapid.T) {
@@ -571,7 +571,7 @@
 				}
 				queue[i] = nil
 			}
-			for _, o := range keeps {
+			for _, o := range pendingMarkOutputs {
 				if rapid.Bool().Draw(t, "kept in time") {
 					if o.Kind == Forget {
 						delete(marks, o.Mark.Region)
@@ -582,8 +582,8 @@
 					break
 				}
 			}
-			keeps, live = nil, nil
-			set, _ = New(cfg)
+			pendingMarkOutputs, begun = nil, nil
+			set, _ = New(config)
 			for n := range int64(numBlocks / 4) {
 				if lead, ok := marks[n]; ok {
 					if err := set.Remember(Mark{n, lead}); err != nil {
@@ -596,9 +596,9 @@
 	// Finally everything can be caught up.
 	for range 200 {
 		process()
-		for len(keeps) > 0 {
-			o := keeps[0]
-			keeps = keeps[1:]
+		for len(pendingMarkOutputs) > 0 {
+			o := pendingMarkOutputs[0]
+			pendingMarkOutputs = pendingMarkOutputs[1:]
 			if o.Kind == Keep {
 				set.Kept(now, o.Mark, true)
 			}
--- a/copies/recall.go
+++ b/copies/recall.go
@@ -83,7 +83,7 @@
 				k := regionKey{i, j, n}
 				previous, seen := leads[k]
 				if seen && previous != lead {
-					return out, fmt.Errorf("copies: volume %q, %d bytes from %d: parts of one region have different leads; set the regions back to %d bytes until all is caught up",
+					return out, fmt.Errorf("copies: volume %q, %d bytes from %d: parts of one region have different leads; set the region size back to %d bytes until all copies are caught up",
 						v.Name, r.Len, r.From, r.Len)
 				}
 				if leads[k] = lead; seen {
--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -166,7 +166,7 @@
 	}
 	b.advance(now)
 	floor := b.floors[class]
-	if w := max(b.short.secondsUntilAvailable(bytes, floor), b.long.secondsUntilAvailable(bytes, floor)); w > 0 {
+	if waitSeconds := max(b.short.secondsUntilAvailable(bytes, floor), b.long.secondsUntilAvailable(bytes, floor)); waitSeconds > 0 {
 		if b.mayBend(class, bytes) {
 			b.loan += bytes
 			b.Tally.Bent += bytes
@@ -176,7 +176,7 @@
 		}
 		b.Tally.Refused[class]++
 		b.Tally.RefusedBytes[class] += bytes
-		return false, min(logic.Micros(math.Ceil(w*1e6)), maxRetryAfter)
+		return false, min(logic.Micros(math.Ceil(waitSeconds*1e6)), maxRetryAfter)
 	}
 	b.short.level -= bytes
 	b.long.level -= bytes
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -32,7 +32,7 @@
 // same request passes after it and not one microsecond earlier.
 func TestOrderOfRefusal(t *testing.T) {
 	b := newBudget(t, testSettings()) // this gateway's share: 1000 bytes/s, burst 2000; floors of 0, 500 and 1000 bytes
-	ask := func(now logic.Micros, class int, bytes float64, want bool) logic.Micros {
+	wantAsk := func(now logic.Micros, class int, bytes float64, want bool) logic.Micros {
 		t.Helper()
 		ok, wait := b.Ask(now, class, bytes)
 		if ok != want {
@@ -40,21 +40,21 @@
 		}
 		return wait
 	}
-	ask(0, report, 900, true)
-	wait := ask(0, report, 300, false)
+	wantAsk(0, report, 900, true)
+	wait := wantAsk(0, report, 300, false)
 	if wait != 200*ms {
 		t.Errorf("retry delay %d, want 200 ms", wait)
 	}
-	ask(0, read, 600, true)
-	ask(0, read, 100, false)
-	ask(0, save, 500, true)
-	ask(0, save, 1, false)
+	wantAsk(0, read, 600, true)
+	wantAsk(0, read, 100, false)
+	wantAsk(0, save, 500, true)
+	wantAsk(0, save, 1, false)
 	b = newBudget(t, testSettings())
 	b.Ask(0, report, 900)
-	ask(wait-1, report, 300, false)
+	wantAsk(wait-1, report, 300, false)
 	b = newBudget(t, testSettings())
 	b.Ask(0, report, 900)
-	ask(wait, report, 300, true)
+	wantAsk(wait, report, 300, true)
 }
 
 // A request larger than the bucket passes when the bucket is full and leaves its level negative.
@@ -123,11 +123,11 @@
 		s := testSettings()
 		s.Period, s.PerTime = 60*sec, 50_000
 		b := newBudget(t, s)
-		type draw struct {
+		type crossingBytes struct {
 			at    logic.Micros
 			bytes float64
 		}
-		var draws []draw
+		var crossings []crossingBytes
 		now, largest := logic.Micros(0), 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += logic.Micros(rapid.IntRange(0, 400_000).Draw(t, "pass"))
@@ -137,7 +137,7 @@
 			case 1:
 				n := float64(rapid.IntRange(1, 500).Draw(t, "unasked"))
 				b.Spent(now, n)
-				draws = append(draws, draw{now, n})
+				crossings = append(crossings, crossingBytes{now, n})
 				largest = max(largest, n)
 			case 2:
 				b.Ask(now-logic.Micros(rapid.IntRange(1, 1_000_000).Draw(t, "back")), report, 1e9) // the clock goes back
@@ -146,7 +146,7 @@
 				class := rapid.IntRange(0, 2).Draw(t, "class")
 				ok, wait := b.Ask(now, class, n)
 				if ok {
-					draws = append(draws, draw{now, n})
+					crossings = append(crossings, crossingBytes{now, n})
 					largest = max(largest, n)
 				} else if wait <= 0 {
 					t.Fatalf("refused without a retry delay")
@@ -156,11 +156,11 @@
 				t.Fatal("a level is NaN")
 			}
 		}
-		for i := range draws {
+		for i := range crossings {
 			sum := 0.0
-			for j := i; j < len(draws); j++ {
-				sum += draws[j].bytes
-				span := seconds(draws[j].at - draws[i].at)
+			for j := i; j < len(crossings); j++ {
+				sum += crossings[j].bytes
+				span := seconds(crossings[j].at - crossings[i].at)
 				unasked := b.Tally.Unasked
 				if bound := 2000 + 1000*span + 22_000 + 2*largest + unasked; sum > bound {
 					t.Fatalf("%.0f bytes within %.2f s, at most %.0f", sum, span, bound)
