--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -157,10 +157,10 @@
 	b.long.level = min(b.long.level+b.long.rate*elapsed, b.long.capacity)
 }
 
-// Ask reports whether a request of the class may cross zones; bytes is its data in both directions. If it is refused,
+// Admit reports whether a request of the class may cross zones; bytes is its data in both directions. If it is refused,
 // wait is the time after which the same request would be admitted if no other request is admitted meanwhile, at most
 // maxRetryAfter.
-func (b *Budget) Ask(now logic.Micros, class int, bytes float64) (ok bool, wait logic.Micros) {
+func (b *Budget) Admit(now logic.Micros, class int, bytes float64) (ok bool, wait logic.Micros) {
 	if b.settings.Rate <= 0 || class < 0 || class >= len(b.floors) {
 		return true, 0
 	}
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -34,7 +34,7 @@
 	b := newBudget(t, testSettings()) // this gateway's share: 1000 bytes/s, burst 2000; floors of 0, 500 and 1000 bytes
 	wantAsk := func(now logic.Micros, class int, bytes float64, want bool) logic.Micros {
 		t.Helper()
-		ok, wait := b.Ask(now, class, bytes)
+		ok, wait := b.Admit(now, class, bytes)
 		if ok != want {
 			t.Errorf("class %d of %.0f bytes: %v, want %v (level %.0f)", class, bytes, ok, want, b.short.level)
 		}
@@ -50,26 +50,26 @@
 	wantAsk(0, save, 500, true)
 	wantAsk(0, save, 1, false)
 	b = newBudget(t, testSettings())
-	b.Ask(0, report, 900)
+	b.Admit(0, report, 900)
 	wantAsk(wait-1, report, 300, false)
 	b = newBudget(t, testSettings())
-	b.Ask(0, report, 900)
+	b.Admit(0, report, 900)
 	wantAsk(wait, report, 300, true)
 }
 
 // A request larger than the bucket passes when the bucket is full and leaves its level negative.
 func TestLargerThanBudget(t *testing.T) {
 	b := newBudget(t, testSettings())
-	if ok, _ := b.Ask(0, report, 5000); !ok {
+	if ok, _ := b.Admit(0, report, 5000); !ok {
 		t.Error("refused although the bucket is full")
 	}
-	if ok, wait := b.Ask(0, save, 1); ok || wait < 3*sec {
+	if ok, wait := b.Admit(0, save, 1); ok || wait < 3*sec {
 		t.Errorf("got %v, retry delay %d; want a refusal of 3 s or more for the negative level", ok, wait)
 	}
-	if ok, _ := b.Ask(4*sec, report, 5000); ok {
+	if ok, _ := b.Admit(4*sec, report, 5000); ok {
 		t.Error("passes again before the bucket is full")
 	}
-	if ok, _ := b.Ask(5*sec, report, 5000); !ok {
+	if ok, _ := b.Admit(5*sec, report, 5000); !ok {
 		t.Error("refused although the bucket is full again")
 	}
 }
@@ -79,17 +79,17 @@
 func TestBend(t *testing.T) {
 	b := newBudget(t, testSettings())
 	for b.short.level > 0 {
-		b.Ask(0, save, 100)
+		b.Admit(0, save, 100)
 	}
 	b.Zones(0, []Zone{{0, 4, 4}, {1, 4, 3}})
-	if ok, _ := b.Ask(0, save, 100); ok {
+	if ok, _ := b.Admit(0, save, 100); ok {
 		t.Error("bends with a quarter of a zone's nodes lost")
 	}
 	b.Zones(0, []Zone{{0, 4, 4}, {1, 4, 2}})
 	passed := [3]float64{}
 	for now := logic.Micros(0); now < 20*sec; now += 10 * ms {
 		for class := range 3 {
-			if ok, _ := b.Ask(now, class, 100); ok {
+			if ok, _ := b.Admit(now, class, 100); ok {
 				passed[class] += 100
 			}
 		}
@@ -140,11 +140,11 @@
 				crossings = append(crossings, crossingBytes{now, n})
 				largest = max(largest, n)
 			case 2:
-				b.Ask(now-logic.Micros(rapid.IntRange(1, 1_000_000).Draw(t, "back")), report, 1e9) // the clock goes back
+				b.Admit(now-logic.Micros(rapid.IntRange(1, 1_000_000).Draw(t, "back")), report, 1e9) // the clock goes back
 			default:
 				n := float64(rapid.IntRange(1, 3000).Draw(t, "bytes"))
 				class := rapid.IntRange(0, 2).Draw(t, "class")
-				ok, wait := b.Ask(now, class, n)
+				ok, wait := b.Admit(now, class, n)
 				if ok {
 					crossings = append(crossings, crossingBytes{now, n})
 					largest = max(largest, n)
@@ -176,7 +176,7 @@
 // A restart does not increase the available budget beyond the income since the state was saved.
 func TestRemember(t *testing.T) {
 	b := newBudget(t, testSettings())
-	b.Ask(0, save, 1500)
+	b.Admit(0, save, 1500)
 	b.loan = 300
 	m := b.Memory(0)
 	for _, c := range []struct {
@@ -215,7 +215,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 50
-		x.Ask(now, read, 100)
+		x.Admit(now, read, 100)
 	}
 }
 
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -112,7 +112,7 @@
 		return 0, 0, true
 	}
 	asked = float64(data + overhead)
-	if ok, wait = c.budget.Ask(now, class, asked); !ok {
+	if ok, wait = c.budget.Admit(now, class, asked); !ok {
 		return 0, wait, false
 	}
 	return asked, 0, true
