--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -210,9 +210,9 @@
 	return b.loan+bytes <= (s.Bend-1)*b.short.rate*seconds(b.updatedAt-b.zoneLostSince)+b.short.capacity
 }
 
-// Spent charges bytes that crossed without admission, or the difference from what was admitted: retries, hedges,
+// Charge charges bytes that crossed without admission, or the difference from what was admitted: retries, hedges,
 // answers to cancelled attempts, connections. They are charged even if the level becomes negative.
-func (b *Budget) Spent(now logic.Micros, bytes float64) {
+func (b *Budget) Charge(now logic.Micros, bytes float64) {
 	b.advance(now)
 	b.short.level = min(b.short.level-bytes, b.short.capacity)
 	b.long.level = min(b.long.level-bytes, b.long.capacity)
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -136,7 +136,7 @@
 				b.Zones(now, []Zone{{1, 4, rapid.IntRange(0, 4).Draw(t, "ready")}})
 			case 1:
 				n := float64(rapid.IntRange(1, 500).Draw(t, "unasked"))
-				b.Spent(now, n)
+				b.Charge(now, n)
 				crossings = append(crossings, crossingBytes{now, n})
 				largest = max(largest, n)
 			case 2:
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -143,7 +143,7 @@
 	if c.foreign(n.Zone) {
 		switch bytes := float64(r.Out+r.In) - a.asked; {
 		case bytes >= 0:
-			c.budget.Spent(now, bytes)
+			c.budget.Charge(now, bytes)
 		default:
 			c.budget.Back(now, -bytes)
 		}
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -218,7 +218,7 @@
 		cfg.Crossing.Rate, cfg.Crossing.Burst = budget, budget
 		h := newHand(t, &cfg)
 		if budget < 4096 { // spent already
-			h.c.budget.Spent(h.now, budget)
+			h.c.budget.Charge(h.now, budget)
 		}
 		for range 8 { // node 1 answers far too late
 			h.ask(block.Read, 0, 4096)
