--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -219,8 +219,8 @@
 	b.Tally.Unasked += max(bytes, 0)
 }
 
-// Back refunds bytes that were admitted and never crossed.
-func (b *Budget) Back(now logic.Micros, bytes float64) {
+// Refund refunds bytes that were admitted and never crossed.
+func (b *Budget) Refund(now logic.Micros, bytes float64) {
 	b.advance(now)
 	b.short.level = min(b.short.level+bytes, b.short.capacity)
 	b.long.level = min(b.long.level+bytes, b.long.capacity)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -506,7 +506,7 @@
 	c.tally.Attempts++
 	switch {
 	case !room:
-		c.budget.Back(now, a.asked)
+		c.budget.Refund(now, a.asked)
 		c.tell(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
 		c.recycle(a)
 		return
@@ -518,7 +518,7 @@
 		// An earlier attempt may still be read into the op's own buffer, so a further one has its own.
 		if !p.vol.memory.TryAcquire(p.len) {
 			c.tally.NoMemory++
-			c.budget.Back(now, a.asked)
+			c.budget.Refund(now, a.asked)
 			c.tell(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
 			c.recycle(a)
 			return
@@ -590,7 +590,7 @@
 	}
 	delete(c.pieces, p.id)
 	if p.asked > 0 { // it never crossed after all
-		c.budget.Back(now, p.asked)
+		c.budget.Refund(now, p.asked)
 	}
 	if p.object != nil {
 		c.letGo(now, p)
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -145,7 +145,7 @@
 		case bytes >= 0:
 			c.budget.Charge(now, bytes)
 		default:
-			c.budget.Back(now, -bytes)
+			c.budget.Refund(now, -bytes)
 		}
 		k.reason = a.reason
 		if !a.drive.Pending() {
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -128,7 +128,7 @@
 func (c *Core) answerChange(now logic.Micros, ch *change) {
 	for i, asked := range ch.asked { // what was never sent
 		if asked > 0 {
-			c.budget.Back(now, asked)
+			c.budget.Refund(now, asked)
 			ch.asked[i] = 0
 		}
 	}
@@ -290,7 +290,7 @@
 	}
 	to, wait, ok := c.ask(now, class, x.Copies[f.Target].Cell, n)
 	if !ok || !v.memory.TryAcquire(n) {
-		c.budget.Back(now, from+to)
+		c.budget.Refund(now, from+to)
 		refused(wait)
 		return
 	}
