--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -226,8 +226,8 @@
 	b.long.level = min(b.long.level+bytes, b.long.capacity)
 }
 
-// Zones updates the state of all zones: how many nodes each should have and how many accept work.
-func (b *Budget) Zones(now logic.Micros, zones []Zone) {
+// UpdateZones updates the state of all zones: how many nodes each should have and how many accept work.
+func (b *Budget) UpdateZones(now logic.Micros, zones []Zone) {
 	b.advance(now)
 	lost := false
 	for _, z := range zones {
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -81,11 +81,11 @@
 	for b.short.level > 0 {
 		b.Admit(0, save, 100)
 	}
-	b.Zones(0, []Zone{{0, 4, 4}, {1, 4, 3}})
+	b.UpdateZones(0, []Zone{{0, 4, 4}, {1, 4, 3}})
 	if ok, _ := b.Admit(0, save, 100); ok {
 		t.Error("bends with a quarter of a zone's nodes lost")
 	}
-	b.Zones(0, []Zone{{0, 4, 4}, {1, 4, 2}})
+	b.UpdateZones(0, []Zone{{0, 4, 4}, {1, 4, 2}})
 	passed := [3]float64{}
 	for now := logic.Micros(0); now < 20*sec; now += 10 * ms {
 		for class := range 3 {
@@ -94,8 +94,8 @@
 			}
 		}
 		if now%(200*ms) == 0 { // flaps
-			b.Zones(now, []Zone{{1, 4, 4}})
-			b.Zones(now, []Zone{{1, 4, 2}})
+			b.UpdateZones(now, []Zone{{1, 4, 4}})
+			b.UpdateZones(now, []Zone{{1, 4, 2}})
 		}
 	}
 	// At most: the share of 1000 bytes/s for 20 s, a loan of 2000 bytes/s for 10 s, and the burst of 2000.
@@ -105,7 +105,7 @@
 	if passed[report] > 0 {
 		t.Errorf("reports crossed with %.0f bytes while a zone was lost", passed[report])
 	}
-	b.Zones(20*sec, []Zone{{1, 4, 4}})
+	b.UpdateZones(20*sec, []Zone{{1, 4, 4}})
 	_, _, loan := b.Level(20 * sec)
 	if loan < 10_000 || loan > 22_000 {
 		t.Errorf("loan is %.0f, want 10000 to 22000", loan)
@@ -133,7 +133,7 @@
 			now += logic.Micros(rapid.IntRange(0, 400_000).Draw(t, "pass"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				b.Zones(now, []Zone{{1, 4, rapid.IntRange(0, 4).Draw(t, "ready")}})
+				b.UpdateZones(now, []Zone{{1, 4, rapid.IntRange(0, 4).Draw(t, "ready")}})
 			case 1:
 				n := float64(rapid.IntRange(1, 500).Draw(t, "unasked"))
 				b.Charge(now, n)
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -182,7 +182,7 @@
 			c.home[n.Cell] = c.home[n.Cell] || !c.foreign(n.Zone)
 		}
 	}
-	c.budget.Zones(now, zones)
+	c.budget.UpdateZones(now, zones)
 	c.lookAgain() // a copy may be in reach again
 }
 
