--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -249,8 +249,8 @@
 // Zone is a zone with its number of configured nodes and of nodes that accept work.
 type Zone struct{ ID, Nodes, Ready int }
 
-// Level returns the levels of the short-term and the long-term bucket and the loan that is not repaid, in bytes.
-func (b *Budget) Level(now logic.Micros) (short, long, loan float64) {
+// Levels returns the levels of the short-term and the long-term bucket and the loan that is not repaid, in bytes.
+func (b *Budget) Levels(now logic.Micros) (short, long, loan float64) {
 	b.advance(now)
 	return b.short.level, b.long.level, b.loan
 }
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -106,12 +106,12 @@
 		t.Errorf("reports crossed with %.0f bytes while a zone was lost", passed[report])
 	}
 	b.UpdateZones(20*sec, []Zone{{1, 4, 4}})
-	_, _, loan := b.Level(20 * sec)
+	_, _, loan := b.Levels(20 * sec)
 	if loan < 10_000 || loan > 22_000 {
 		t.Errorf("loan is %.0f, want 10000 to 22000", loan)
 	}
 	before := b.loan
-	if _, _, after := b.Level(30 * sec); after != before-5000 {
+	if _, _, after := b.Levels(30 * sec); after != before-5000 {
 		t.Errorf("repaid %.0f of %.0f in 10 s, want half of the income, 5000", before-after, before)
 	}
 }
@@ -188,7 +188,7 @@
 		if err := n.Remember(c.m, c.age); err != nil {
 			t.Fatal(err)
 		}
-		if short, _, _ := n.Level(77 * sec); short != c.short {
+		if short, _, _ := n.Levels(77 * sec); short != c.short {
 			t.Errorf("after %d: level is %.0f, want %.0f", c.age, short, c.short)
 		}
 	}
