--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -241,10 +241,10 @@
 	b.zoneLost = lost
 }
 
-// Foreign reports whether bytes between a gateway in zone own and a node in zone node cross zones. A negative zone is
+// CrossesZones reports whether bytes between a gateway in zone own and a node in zone node cross zones. A negative zone is
 // unknown. A node of unknown zone counts as being in another zone, so that the budget covers too much rather than too
 // little. For a gateway of unknown zone nothing crosses.
-func Foreign(own, node int) bool { return own >= 0 && node != own }
+func CrossesZones(own, node int) bool { return own >= 0 && node != own }
 
 // Zone is a zone with its number of configured nodes and of nodes that accept work.
 type Zone struct{ ID, Nodes, Ready int }
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -224,7 +224,7 @@
 		own, node int
 		want      bool
 	}{{0, 0, false}, {0, 1, true}, {0, -1, true}, {-1, 0, false}, {-1, -1, false}} {
-		if Foreign(x.own, x.node) != x.want {
+		if CrossesZones(x.own, x.node) != x.want {
 			t.Errorf("%+v", x)
 		}
 	}
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -49,7 +49,7 @@
 // overhead is about what headers add to a request's data; the true sum is settled when an attempt ends.
 const overhead = 160
 
-func (c *Core) foreign(zone int) bool { return crossing.Foreign(c.cfg.Logic.Zone, zone) }
+func (c *Core) foreign(zone int) bool { return crossing.CrossesZones(c.cfg.Logic.Zone, zone) }
 
 // mayCross asks the budget for a piece whose data lies in no node of this gateway's zone; wait is when to come back.
 func (c *Core) mayCross(now logic.Micros, p *piece) (wait logic.Micros, ok bool) {
