--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -264,9 +264,9 @@
 	return Memory{b.short.level, b.long.level, b.loan}
 }
 
-// Remember restores the state that an earlier process saved. Age is the time since then; with 0, age unknown, no income
+// Restore restores the state that an earlier process saved. Age is the time since then; with 0, age unknown, no income
 // is added. With a nil m the buckets start empty, because an earlier process may have spent the budget.
-func (b *Budget) Remember(m *Memory, age logic.Micros) error {
+func (b *Budget) Restore(m *Memory, age logic.Micros) error {
 	if m == nil {
 		b.short.level, b.long.level = 0, 0
 		return nil
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -185,14 +185,14 @@
 		short float64
 	}{{&m, 0, 500}, {&m, sec, 1200}, {nil, 0, 0}} { // 300 of the income of 1000 repay the loan
 		n := newBudget(t, testSettings())
-		if err := n.Remember(c.m, c.age); err != nil {
+		if err := n.Restore(c.m, c.age); err != nil {
 			t.Fatal(err)
 		}
 		if short, _, _ := n.Levels(77 * sec); short != c.short {
 			t.Errorf("after %d: level is %.0f, want %.0f", c.age, short, c.short)
 		}
 	}
-	if newBudget(t, testSettings()).Remember(&Memory{Short: math.NaN()}, 0) == nil {
+	if newBudget(t, testSettings()).Restore(&Memory{Short: math.NaN()}, 0) == nil {
 		t.Error("a saved level of NaN is accepted")
 	}
 }
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -204,5 +204,5 @@
 		row := r
 		c.ledger[ledgerKey{r.Volume, r.Class, r.Zone, r.Reason}] = &row
 	}
-	return c.budget.Remember(m, age)
+	return c.budget.Restore(m, age)
 }
