--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -258,8 +258,8 @@
 // Memory is the state that is saved over a restart. The caller stores its age with it.
 type Memory struct{ Short, Long, Loan float64 }
 
-// Memory returns the state to save.
-func (b *Budget) Memory(now logic.Micros) Memory {
+// Snapshot returns the state to save.
+func (b *Budget) Snapshot(now logic.Micros) Memory {
 	b.advance(now)
 	return Memory{b.short.level, b.long.level, b.loan}
 }
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -178,7 +178,7 @@
 	b := newBudget(t, testSettings())
 	b.Admit(0, save, 1500)
 	b.loan = 300
-	m := b.Memory(0)
+	m := b.Snapshot(0)
 	for _, c := range []struct {
 		m     *Memory
 		age   logic.Micros
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -194,7 +194,7 @@
 	slices.SortFunc(rows, func(a, b Crossed) int {
 		return cmp.Or(cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Reason, b.Reason))
 	})
-	return rows, c.budget.Memory(now)
+	return rows, c.budget.Snapshot(now)
 }
 
 // RememberCrossing takes up what an earlier process has counted, and what it had left, so long ago; nothing is at hand
