--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -255,18 +255,18 @@
 	return b.short.level, b.long.level, b.loan
 }
 
-// Memory is the state that is saved over a restart. The caller stores its age with it.
-type Memory struct{ Short, Long, Loan float64 }
+// Snapshot is the state that is saved over a restart. The caller stores its age with it.
+type Snapshot struct{ Short, Long, Loan float64 }
 
 // Snapshot returns the state to save.
-func (b *Budget) Snapshot(now logic.Micros) Memory {
+func (b *Budget) Snapshot(now logic.Micros) Snapshot {
 	b.advance(now)
-	return Memory{b.short.level, b.long.level, b.loan}
+	return Snapshot{b.short.level, b.long.level, b.loan}
 }
 
 // Restore restores the state that an earlier process saved. Age is the time since then; with 0, age unknown, no income
 // is added. With a nil m the buckets start empty, because an earlier process may have spent the budget.
-func (b *Budget) Restore(m *Memory, age logic.Micros) error {
+func (b *Budget) Restore(m *Snapshot, age logic.Micros) error {
 	if m == nil {
 		b.short.level, b.long.level = 0, 0
 		return nil
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -180,7 +180,7 @@
 	b.loan = 300
 	m := b.Snapshot(0)
 	for _, c := range []struct {
-		m     *Memory
+		m     *Snapshot
 		age   logic.Micros
 		short float64
 	}{{&m, 0, 500}, {&m, sec, 1200}, {nil, 0, 0}} { // 300 of the income of 1000 repay the loan
@@ -192,7 +192,7 @@
 			t.Errorf("after %d: level is %.0f, want %.0f", c.age, short, c.short)
 		}
 	}
-	if newBudget(t, testSettings()).Restore(&Memory{Short: math.NaN()}, 0) == nil {
+	if newBudget(t, testSettings()).Restore(&Snapshot{Short: math.NaN()}, 0) == nil {
 		t.Error("a saved level of NaN is accepted")
 	}
 }
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -187,7 +187,7 @@
 }
 
 // Crossing copies the ledger, in a fixed order, and what is left of the budget.
-func (c *Core) Crossing(now logic.Micros) (rows []Crossed, m crossing.Memory) {
+func (c *Core) Crossing(now logic.Micros) (rows []Crossed, m crossing.Snapshot) {
 	for _, r := range c.ledger {
 		rows = append(rows, *r)
 	}
@@ -199,7 +199,7 @@
 
 // RememberCrossing takes up what an earlier process has counted, and what it had left, so long ago; nothing is at hand
 // where that is not known.
-func (c *Core) RememberCrossing(rows []Crossed, m *crossing.Memory, age logic.Micros) error {
+func (c *Core) RememberCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) error {
 	for _, r := range rows {
 		row := r
 		c.ledger[ledgerKey{r.Volume, r.Class, r.Zone, r.Reason}] = &row
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -151,13 +151,13 @@
 }
 
 // Crossing tells what crossed and what is left of the budget.
-func (e *Engine) Crossing() (rows []Crossed, m crossing.Memory) {
+func (e *Engine) Crossing() (rows []Crossed, m crossing.Snapshot) {
 	e.loop.WithLock(func(now logic.Micros) { rows, m = e.core.Crossing(now) })
 	return rows, m
 }
 
 // RememberCrossing gives the engine what an earlier process has counted and left, before anything is brought.
-func (e *Engine) RememberCrossing(rows []Crossed, m *crossing.Memory, age logic.Micros) (err error) {
+func (e *Engine) RememberCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberCrossing(rows, m, age) })
 	return err
 }
--- a/internal/report/crossing_test.go
+++ b/internal/report/crossing_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Save(&state.State{Gateway: "gw0", Budget: &crossing.Memory{}, Crossed: []crossing.Count{
+	if err := s.Save(&state.State{Gateway: "gw0", Budget: &crossing.Snapshot{}, Crossed: []crossing.Count{
 		{Volume: 7, Class: 0, Zone: 0, Reason: 1, Attempts: 3, Out: 1000, In: 20}, {Volume: 8, Class: 5, Zone: 1, Attempts: 1, Out: 1, In: 2},
 		{Volume: 7, Class: 0, Zone: 0, Reason: 7, Attempts: 2, Out: 500}}, History: []crossing.Slot{{From: 1_800_000_000 / 600 * 600, Counts: []crossing.Count{{Volume: 7, Zone: 0, Reason: 1, Attempts: 3, Out: 1000, In: 20}}},
 		{From: 1_800_000_600 / 600 * 600, Counts: []crossing.Count{{Volume: 7, Zone: 0, Reason: 7, Attempts: 2, Out: 500}}}}}); err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -25,10 +25,10 @@
 	Quiet   bool // and nothing that it had sent may still run at a node
 	Logic   logic.Memory
 	Members []members.Memory
-	Crossed []crossing.Count // bytes on the connections to nodes, by what they were for
-	Budget  *crossing.Memory // for what crosses zones; nil: not known
-	History []crossing.Slot  // the same over time
-	Copies  []Copies         // of mirrored extents, as a report; what counts are the marks
+	Crossed []crossing.Count   // bytes on the connections to nodes, by what they were for
+	Budget  *crossing.Snapshot // for what crosses zones; nil: not known
+	History []crossing.Slot    // the same over time
+	Copies  []Copies           // of mirrored extents, as a report; what counts are the marks
 }
 
 // Copies is how the copies of a mirrored extent were.
