--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -101,7 +101,7 @@
 	PassedBytes     []float64 // by class: admitted bytes; the bytes that actually crossed are in the ledger
 	RefusedBytes    []float64 // by class: bytes of the refused requests
 	Bent            float64   // bytes admitted by bending
-	Unasked         float64   // bytes that crossed without admission: retries, connections
+	Unadmitted      float64   // bytes that crossed without admission: retries, connections
 }
 
 // New returns a gateway's share of the budget with full buckets.
@@ -216,7 +216,7 @@
 	b.advance(now)
 	b.short.level = min(b.short.level-bytes, b.short.capacity)
 	b.long.level = min(b.long.level-bytes, b.long.capacity)
-	b.Tally.Unasked += max(bytes, 0)
+	b.Tally.Unadmitted += max(bytes, 0)
 }
 
 // Refund refunds bytes that were admitted and never crossed.
--- a/crossing/crossing_test.go
+++ b/crossing/crossing_test.go
@@ -161,7 +161,7 @@
 			for j := i; j < len(crossings); j++ {
 				sum += crossings[j].bytes
 				span := seconds(crossings[j].at - crossings[i].at)
-				unasked := b.Tally.Unasked
+				unasked := b.Tally.Unadmitted
 				if bound := 2000 + 1000*span + 22_000 + 2*largest + unasked; sum > bound {
 					t.Fatalf("%.0f bytes within %.2f s, at most %.0f", sum, span, bound)
 				}
