--- a/crossing/history.go
+++ b/crossing/history.go
@@ -40,9 +40,9 @@
 	numCounts  int             // over all slots
 }
 
-// Remember restores the slots of an earlier process and its totals. Later calls of Note add only what exceeds the
+// Restore restores the slots of an earlier process and its totals. Later calls of Note add only what exceeds the
 // totals.
-func (h *History) Remember(slots []Slot, totals []Count) {
+func (h *History) Restore(slots []Slot, totals []Count) {
 	h.Slots, h.numCounts = nil, 0
 	for _, s := range slots {
 		if n := len(h.Slots); n == 0 || s.From > h.Slots[n-1].From { // skip slots that are out of order
--- a/crossing/history_test.go
+++ b/crossing/history_test.go
@@ -22,7 +22,7 @@
 	}
 	kept := h.Copy()
 	var again History
-	again.Remember(append(kept, Slot{From: 5}), []Count{c(1, 5, 50, 21)})
+	again.Restore(append(kept, Slot{From: 5}), []Count{c(1, 5, 50, 21)})
 	again.Note(1300, []Count{c(1, 6, 60, 21)})
 	again.Note(1900, []Count{c(1, 1, 7, 1)}) // the counters were reset
 	if n := len(again.Slots); n != 3 || again.Slots[1].Counts[0] != c(1, 3, 30, 1) || again.Slots[2].Counts[0] != c(1, 1, 7, 1) {
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -69,7 +69,7 @@
 	if !recall.LimitsUsable(clean, marked, how) {
 		budget = nil // what was spent since is not known
 	}
-	g.history.Remember(st.History, st.Crossed)
+	g.history.Restore(st.History, st.Crossed)
 	if err := g.Engine.RememberCrossing(rows, budget, age); err != nil {
 		log.Warn("crossing", zap.Error(err))
 	}
