--- a/crossing/history.go
+++ b/crossing/history.go
@@ -57,9 +57,9 @@
 	h.evictOldest()
 }
 
-// Note adds the growth of the totals to the slot of the wall-clock time, in seconds since 1970. If the clock was set
+// Record adds the growth of the totals to the slot of the wall-clock time, in seconds since 1970. If the clock was set
 // back, it is added to the last slot.
-func (h *History) Note(wall int64, totals []Count) {
+func (h *History) Record(wall int64, totals []Count) {
 	if h.lastTotals == nil {
 		h.lastTotals = map[Count]Count{}
 	}
--- a/crossing/history_test.go
+++ b/crossing/history_test.go
@@ -12,10 +12,10 @@
 	c := func(class int, attempts uint64, out, in int64) Count {
 		return Count{Volume: 7, Class: class, Attempts: attempts, Out: out, In: in}
 	}
-	h.Note(1000, []Count{c(1, 1, 10, 20), c(0, 2, 5, 5)})
-	h.Note(1100, []Count{c(1, 3, 30, 20), c(0, 2, 5, 5)})
-	h.Note(1200, []Count{c(1, 4, 40, 21)})
-	h.Note(700, []Count{c(1, 5, 50, 21)}) // the clock was set back
+	h.Record(1000, []Count{c(1, 1, 10, 20), c(0, 2, 5, 5)})
+	h.Record(1100, []Count{c(1, 3, 30, 20), c(0, 2, 5, 5)})
+	h.Record(1200, []Count{c(1, 4, 40, 21)})
+	h.Record(700, []Count{c(1, 5, 50, 21)}) // the clock was set back
 	want := []Slot{{600, []Count{c(0, 2, 5, 5), c(1, 3, 30, 20)}}, {1200, []Count{c(1, 2, 20, 1)}}}
 	if !reflect.DeepEqual(h.Slots, want) {
 		t.Fatalf("%+v, want %+v", h.Slots, want)
@@ -23,8 +23,8 @@
 	kept := h.Copy()
 	var again History
 	again.Restore(append(kept, Slot{From: 5}), []Count{c(1, 5, 50, 21)})
-	again.Note(1300, []Count{c(1, 6, 60, 21)})
-	again.Note(1900, []Count{c(1, 1, 7, 1)}) // the counters were reset
+	again.Record(1300, []Count{c(1, 6, 60, 21)})
+	again.Record(1900, []Count{c(1, 1, 7, 1)}) // the counters were reset
 	if n := len(again.Slots); n != 3 || again.Slots[1].Counts[0] != c(1, 3, 30, 1) || again.Slots[2].Counts[0] != c(1, 1, 7, 1) {
 		t.Fatalf("%+v", again.Slots)
 	}
@@ -32,7 +32,7 @@
 		t.Error("the copy has changed")
 	}
 	for i := range 300 {
-		h.Note(int64(10_000+i*SlotLength), []Count{c(1, uint64(10+i), 100, 100)})
+		h.Record(int64(10_000+i*SlotLength), []Count{c(1, uint64(10+i), 100, 100)})
 	}
 	if len(h.Slots) != maxSlots {
 		t.Errorf("%d slots", len(h.Slots))
@@ -45,7 +45,7 @@
 		for j := range many {
 			many[j].Attempts++
 		}
-		h.Note(int64(1_000_000+i*SlotLength), many)
+		h.Record(int64(1_000_000+i*SlotLength), many)
 	}
 	if h.numCounts > maxCounts || len(h.Slots) != 2 {
 		t.Errorf("%d counts in %d slots", h.numCounts, len(h.Slots))
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -148,7 +148,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.history.Note(time.Now().Unix(), st.Crossed)
+	g.history.Record(time.Now().Unix(), st.Crossed)
 	st.History = g.history.Copy()
 	st.Members = g.members.Snapshot(now)
 	return st
