--- a/crossing/history.go
+++ b/crossing/history.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Copy returns a deep copy of the slots.
-func (h *History) Copy() []Slot {
+// Clone returns a deep copy of the slots.
+func (h *History) Clone() []Slot {
 	out := make([]Slot, len(h.Slots))
 	for i, s := range h.Slots {
 		out[i] = Slot{s.From, slices.Clone(s.Counts)}
--- a/crossing/history_test.go
+++ b/crossing/history_test.go
@@ -20,7 +20,7 @@
 	if !reflect.DeepEqual(h.Slots, want) {
 		t.Fatalf("%+v, want %+v", h.Slots, want)
 	}
-	kept := h.Copy()
+	kept := h.Clone()
 	var again History
 	again.Restore(append(kept, Slot{From: 5}), []Count{c(1, 5, 50, 21)})
 	again.Record(1300, []Count{c(1, 6, 60, 21)})
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -149,7 +149,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.history.Record(time.Now().Unix(), st.Crossed)
-	st.History = g.history.Copy()
+	st.History = g.history.Clone()
 	st.Members = g.members.Snapshot(now)
 	return st
 }
