--- a/copies/copies.go
+++ b/copies/copies.go
@@ -29,8 +29,8 @@
 const (
 	ms, sec logic.Micros = 1000, 1000 * 1000
 
-	// Most is the maximum number of copies of an extent.
-	Most = 8
+	// MaxCopies is the maximum number of copies of an extent.
+	MaxCopies = 8
 	// markIdleTime is how long a region must be without changes before its mark is dropped. A shorter time writes more
 	// marks if the same regions change repeatedly; a longer one leaves more to catch up after the process was killed.
 	markIdleTime = 5 * sec
@@ -81,8 +81,8 @@
 // Check returns an error if a setting is out of range.
 func (s *Settings) Check() error {
 	switch {
-	case s.Copies < 1 || s.Copies > Most:
-		return fmt.Errorf("copies: %d copies, between 1 and %d can be", s.Copies, Most)
+	case s.Copies < 1 || s.Copies > MaxCopies:
+		return fmt.Errorf("copies: %d copies, between 1 and %d can be", s.Copies, MaxCopies)
 	case s.Hold < 1 || s.Hold > s.Copies:
 		return fmt.Errorf("copies: %d of %d copies must hold a change", s.Hold, s.Copies)
 	case s.Region <= 0 || s.Size <= 0:
@@ -159,11 +159,11 @@
 	leadsDiffer          bool // while persisting: a change ended that not both lead and pendingLead certainly hold
 	numActive            int  // number of changes that are not done
 	lastChange           logic.Micros
-	inIdleList           bool         // in Set.idleRegions
-	catchingUp           Mask         // copies that are being caught up
-	missedFrom, missedTo [Most]int64  // by copy: the bytes that it has missed
-	fillSeq              [Most]uint64 // by copy: sequence number of the last change begun before its latest fill started
-	waitingChanges       []*Change    // to be sent once the mark is on stable storage
+	inIdleList           bool              // in Set.idleRegions
+	catchingUp           Mask              // copies that are being caught up
+	missedFrom, missedTo [MaxCopies]int64  // by copy: the bytes that it has missed
+	fillSeq              [MaxCopies]uint64 // by copy: sequence number of the last change begun before its latest fill started
+	waitingChanges       []*Change         // to be sent once the mark is on stable storage
 }
 
 // Set is the state of one mirrored extent. Its size is bounded by the changes in flight, which the caller bounds, and
@@ -173,13 +173,13 @@
 	regions          btree.Map[int64, *region] // regions with a mark, a change or a stale copy; all others are up to date
 	active           []*Change                 // in the order begun
 	seq              uint64
-	catchUpBackoff   [Most]logic.Micros
-	catchUpNotBefore [Most]logic.Micros // by copy: earliest time of the next fill after a failure
-	nextScan         int64              // region at which the next scan for stale regions starts
-	numStaleRegions  int                // number of regions with a stale copy
-	numStaleByCopy   [Most]int          // number of regions in which the copy is stale
-	idleRegions      []idleRegion       // candidates for dropping their marks, by time
-	failedMarks      []int64            // regions whose marks could not be written; retried at markRetryAt
+	catchUpBackoff   [MaxCopies]logic.Micros
+	catchUpNotBefore [MaxCopies]logic.Micros // by copy: earliest time of the next fill after a failure
+	nextScan         int64                   // region at which the next scan for stale regions starts
+	numStaleRegions  int                     // number of regions with a stale copy
+	numStaleByCopy   [MaxCopies]int          // number of regions in which the copy is stale
+	idleRegions      []idleRegion            // candidates for dropping their marks, by time
+	failedMarks      []int64                 // regions whose marks could not be written; retried at markRetryAt
 	markRetryAt      logic.Micros
 	outputs          []Output
 	Tally            Tally
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -39,8 +39,8 @@
 	op        *Op
 	from, len int64 // byte of the op
 	part      int
-	asked     [copies.Most]float64 // of the crossing budget
-	wait      logic.Micros         // advice of those who refused a part of it
+	asked     [copies.MaxCopies]float64 // of the crossing budget
+	wait      logic.Micros              // advice of those who refused a part of it
 }
 
 // fillVolume sets the queues apart from which copies are caught up.
@@ -176,7 +176,7 @@
 func (c *Core) go_(p *piece) { p.copy, p.place = p.way.At, &p.extent.Copies[p.way.At] }
 
 // seen is what is known of the copies that a read may go to.
-func (c *Core) seen(p *piece) (seen [copies.Most]copies.Seen) {
+func (c *Core) seen(p *piece) (seen [copies.MaxCopies]copies.Seen) {
 	for i, x := range p.extent.Copies {
 		seen[i] = copies.Seen{Home: c.home[x.Cell], Ready: c.reach(x.Cell), Takes: c.host.Outlook(x.Cell, p.units)}
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -204,7 +204,7 @@
 		return i
 	}
 	c.Class, c.Plan = find("class_", l.classes), find("plan", l.plans)
-	c.Hold = int(f.Whole("hold", 1, 1, copies.Most))
+	c.Hold = int(f.Whole("hold", 1, 1, copies.MaxCopies))
 	c.Region = f.Size("region", 1<<20)
 	c.Together = int(f.Whole("together", 2, 1, 64))
 	if c.Region < 64<<10 || c.Region&(c.Region-1) != 0 {
@@ -433,8 +433,8 @@
 		if x.Len == 0 {
 			e.Bad("size", "is zero")
 		}
-		if len(x.Copies) > copies.Most {
-			e.Bad("mirrors", "%d copies, at most %d can be", len(x.Copies), copies.Most)
+		if len(x.Copies) > copies.MaxCopies {
+			e.Bad("mirrors", "%d copies, at most %d can be", len(x.Copies), copies.MaxCopies)
 		}
 		for i, o := range v.Extents {
 			if x.Start < o.Start+o.Len && o.Start < x.Start+x.Len {
