--- a/copies/copies.go
+++ b/copies/copies.go
@@ -51,11 +51,11 @@
 // Mask is a set of copies.
 type Mask uint8
 
-// Of returns the set that contains only copy.
-func Of(copy int) Mask { return 1 << copy }
+// MaskOf returns the set that contains only copy.
+func MaskOf(copy int) Mask { return 1 << copy }
 
 // Has reports whether copy is in the set.
-func (m Mask) Has(copy int) bool { return m&Of(copy) != 0 }
+func (m Mask) Has(copy int) bool { return m&MaskOf(copy) != 0 }
 
 // Len returns the number of copies in the set.
 func (m Mask) Len() int { return bits.OnesCount8(uint8(m)) }
@@ -385,12 +385,12 @@
 	if c.Over.Has(copy) || !c.Sent.Has(copy) {
 		return
 	}
-	c.Over |= Of(copy)
+	c.Over |= MaskOf(copy)
 	if held {
-		c.Held |= Of(copy)
+		c.Held |= MaskOf(copy)
 	}
 	if ran {
-		c.mayHaveRun |= Of(copy)
+		c.mayHaveRun |= MaskOf(copy)
 	}
 	s.evaluate(now, c)
 	s.finishIfDone(now, c)
@@ -499,7 +499,7 @@
 	heldByLeads, leadsSettled := true, true
 	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
 		upToDate &^= r.stale
-		leads |= Of(r.lead)
+		leads |= MaskOf(r.lead)
 		heldByLeads = heldByLeads && c.Held.Has(r.lead)
 		// While a lead moves, an answered change must be held by both leads: either may lead after a crash.
 		leadsSettled = leadsSettled && r.marked && (!r.persisting || c.Held.Has(r.pendingLead))
@@ -591,7 +591,7 @@
 		s.numStaleRegions++
 	}
 	if !r.stale.Has(copy) {
-		r.stale |= Of(copy)
+		r.stale |= MaskOf(copy)
 		s.numStaleByCopy[copy]++
 		r.missedFrom[copy], r.missedTo[copy] = from, to
 		return
@@ -604,7 +604,7 @@
 	if !r.stale.Has(copy) {
 		return
 	}
-	r.stale &^= Of(copy)
+	r.stale &^= MaskOf(copy)
 	s.numStaleByCopy[copy]--
 	if r.stale == 0 {
 		s.numStaleRegions--
@@ -629,7 +629,7 @@
 			regionCopies &^= r.stale
 			for _, c := range s.active {
 				if r.numActive > 0 && c.overlaps(max(lo, from), min(hi, to)) {
-					regionCopies = Of(r.lead)
+					regionCopies = MaskOf(r.lead)
 				}
 			}
 		}
@@ -703,7 +703,7 @@
 		copy, ok = home, true
 	}
 	r.At, r.Spills, r.Once = copy, home >= 0 && copy != home, false
-	r.tried |= Of(copy)
+	r.tried |= MaskOf(copy)
 	for i := range seen {
 		r.Once = r.Once || i != copy && (m&^r.tried).Has(i) && seen[i].Ready
 	}
@@ -760,7 +760,7 @@
 		case remaining > 0:
 			wait = min(wait, remaining)
 		default:
-			targets |= Of(copy)
+			targets |= MaskOf(copy)
 		}
 	}
 	if targets == 0 {
@@ -795,11 +795,11 @@
 		case c.sent: // in flight to the source, where it ends before the fill reads it
 			from, to = min(from, max(c.From, lo)), max(to, min(c.To, hi))
 		case !c.answered:
-			c.Sent |= Of(copy)
+			c.Sent |= MaskOf(copy)
 		}
 	}
 	r.fillSeq[copy] = s.seq
-	r.catchingUp |= Of(copy)
+	r.catchingUp |= MaskOf(copy)
 	r.missedFrom[copy], r.missedTo[copy] = hi, lo // empty range: records only what is missed from here on
 	return Fill{From: from, To: to, Source: r.lead, Target: copy, region: r.index}
 }
@@ -811,7 +811,7 @@
 	if !found || !r.catchingUp.Has(f.Target) {
 		return
 	}
-	r.catchingUp &^= Of(f.Target)
+	r.catchingUp &^= MaskOf(f.Target)
 	if !done || r.lead != f.Source || r.persisting && r.pendingLead != f.Source {
 		// The whole region: changes in flight to the source were not sent to the target because of the fill.
 		r.missedFrom[f.Target], r.missedTo[f.Target] = s.regionBounds(r.index)
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -70,7 +70,7 @@
 			}
 			ch.asked[i] = asked
 		}
-		ready |= copies.Of(i)
+		ready |= copies.MaskOf(i)
 	}
 	op.changes = append(op.changes, ch)
 	op.left++
@@ -253,7 +253,7 @@
 	ready := copies.Mask(0)
 	for i, p := range m.x.Copies {
 		if c.reach(p.Cell) {
-			ready |= copies.Of(i)
+			ready |= copies.MaskOf(i)
 		}
 	}
 	for c.mirrors.fills < c.cfg.Copies.Together {
