--- a/copies/copies.go
+++ b/copies/copies.go
@@ -108,10 +108,10 @@
 type OutputKind uint8
 
 const (
-	Keep   OutputKind = iota // write Mark to stable storage, then call Kept; marks of one region in the order given
-	Forget                   // delete the mark of Mark.Region at any later time; nothing waits for it
-	Send                     // send Change to the copies in Change.Sent
-	Answer                   // Change.Verdict is final; attempts may still be in flight
+	WriteMark OutputKind = iota // write Mark to stable storage, then call Kept; marks of one region in the order given
+	Forget                      // delete the mark of Mark.Region at any later time; nothing waits for it
+	Send                        // send Change to the copies in Change.Sent
+	Answer                      // Change.Verdict is final; attempts may still be in flight
 )
 
 // Verdict is the result of a change for its client.
@@ -314,7 +314,7 @@
 	if !r.persisting {
 		r.persisting, r.pendingLead = true, lead
 		s.Tally.Marks++
-		s.emit(Output{Kind: Keep, Mark: Mark{r.index, lead}})
+		s.emit(Output{Kind: WriteMark, Mark: Mark{r.index, lead}})
 	}
 }
 
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -33,7 +33,7 @@
 	for out := b.Out(); len(out) > 0; out = b.Out() {
 		for _, o := range out {
 			switch o.Kind {
-			case Keep:
+			case WriteMark:
 				if !b.marksBroken {
 					b.marks[o.Mark.Region] = o.Mark.Lead
 				}
@@ -430,7 +430,7 @@
 		for out := set.Out(); len(out) > 0; out = set.Out() {
 			for _, o := range out {
 				switch o.Kind {
-				case Keep, Forget:
+				case WriteMark, Forget:
 					pendingMarkOutputs = append(pendingMarkOutputs, o)
 				case Send:
 					c := o.Change.Owner.(*change)
@@ -599,7 +599,7 @@
 		for len(pendingMarkOutputs) > 0 {
 			o := pendingMarkOutputs[0]
 			pendingMarkOutputs = pendingMarkOutputs[1:]
-			if o.Kind == Keep {
+			if o.Kind == WriteMark {
 				set.Kept(now, o.Mark, true)
 			}
 			process()
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -89,7 +89,7 @@
 	for out := m.Out(); len(out) > 0; out = m.Out() {
 		for _, o := range out {
 			switch o.Kind {
-			case copies.Keep:
+			case copies.WriteMark:
 				c.out = append(c.out, Action{Kind: Keep, Mark: Mark{Volume: m.vol.index, Extent: m.extent, Mark: o.Mark}})
 			case copies.Forget:
 				c.out = append(c.out, Action{Kind: Forget, Mark: Mark{Volume: m.vol.index, Extent: m.extent, Mark: o.Mark}})
