--- a/copies/copies.go
+++ b/copies/copies.go
@@ -108,10 +108,10 @@
 type OutputKind uint8
 
 const (
-	WriteMark OutputKind = iota // write Mark to stable storage, then call Kept; marks of one region in the order given
-	Forget                      // delete the mark of Mark.Region at any later time; nothing waits for it
-	Send                        // send Change to the copies in Change.Sent
-	Answer                      // Change.Verdict is final; attempts may still be in flight
+	WriteMark  OutputKind = iota // write Mark to stable storage, then call Kept; marks of one region in the order given
+	DeleteMark                   // delete the mark of Mark.Region at any later time; nothing waits for it
+	Send                         // send Change to the copies in Change.Sent
+	Answer                       // Change.Verdict is final; attempts may still be in flight
 )
 
 // Verdict is the result of a change for its client.
@@ -453,7 +453,7 @@
 		default:
 			s.regions.Delete(n)
 			s.Tally.Forgotten++
-			s.emit(Output{Kind: Forget, Mark: Mark{Region: n}})
+			s.emit(Output{Kind: DeleteMark, Mark: Mark{Region: n}})
 		}
 	}
 }
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -38,7 +38,7 @@
 					b.marks[o.Mark.Region] = o.Mark.Lead
 				}
 				b.Kept(b.now, o.Mark, !b.marksBroken)
-			case Forget:
+			case DeleteMark:
 				delete(b.marks, o.Mark.Region)
 			case Send:
 				b.sentChanges = append(b.sentChanges, o.Change)
@@ -430,7 +430,7 @@
 		for out := set.Out(); len(out) > 0; out = set.Out() {
 			for _, o := range out {
 				switch o.Kind {
-				case WriteMark, Forget:
+				case WriteMark, DeleteMark:
 					pendingMarkOutputs = append(pendingMarkOutputs, o)
 				case Send:
 					c := o.Change.Owner.(*change)
@@ -503,7 +503,7 @@
 			}
 			o := pendingMarkOutputs[0]
 			pendingMarkOutputs = pendingMarkOutputs[1:]
-			if o.Kind == Forget {
+			if o.Kind == DeleteMark {
 				delete(marks, o.Mark.Region)
 				return
 			}
@@ -573,7 +573,7 @@
 			}
 			for _, o := range pendingMarkOutputs {
 				if rapid.Bool().Draw(t, "kept in time") {
-					if o.Kind == Forget {
+					if o.Kind == DeleteMark {
 						delete(marks, o.Mark.Region)
 					} else {
 						marks[o.Mark.Region] = o.Mark.Lead
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -91,7 +91,7 @@
 			switch o.Kind {
 			case copies.WriteMark:
 				c.out = append(c.out, Action{Kind: Keep, Mark: Mark{Volume: m.vol.index, Extent: m.extent, Mark: o.Mark}})
-			case copies.Forget:
+			case copies.DeleteMark:
 				c.out = append(c.out, Action{Kind: Forget, Mark: Mark{Volume: m.vol.index, Extent: m.extent, Mark: o.Mark}})
 			case copies.Send:
 				c.sendChange(o.Change.Owner.(*change))
