--- a/copies/copies.go
+++ b/copies/copies.go
@@ -332,8 +332,8 @@
 	}
 }
 
-// Kept reports that a mark is on stable storage, or, if ok is false, that this is not certain.
-func (s *Set) Kept(now logic.Micros, m Mark, ok bool) {
+// MarkWritten reports that a mark is on stable storage, or, if ok is false, that this is not certain.
+func (s *Set) MarkWritten(now logic.Micros, m Mark, ok bool) {
 	r, found := s.regions.Get(m.Region)
 	if !found || !r.persisting || r.pendingLead != m.Lead {
 		return
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -37,7 +37,7 @@
 				if !b.marksBroken {
 					b.marks[o.Mark.Region] = o.Mark.Lead
 				}
-				b.Kept(b.now, o.Mark, !b.marksBroken)
+				b.MarkWritten(b.now, o.Mark, !b.marksBroken)
 			case DeleteMark:
 				delete(b.marks, o.Mark.Region)
 			case Send:
@@ -511,7 +511,7 @@
 			if ok || rapid.Bool().Draw(t, "stands all the same") {
 				marks[o.Mark.Region] = o.Mark.Lead
 			}
-			set.Kept(now, o.Mark, ok)
+			set.MarkWritten(now, o.Mark, ok)
 		},
 		"end": func(t *rapid.T) {
 			i := drawCopy("copy")
@@ -600,7 +600,7 @@
 			o := pendingMarkOutputs[0]
 			pendingMarkOutputs = pendingMarkOutputs[1:]
 			if o.Kind == WriteMark {
-				set.Kept(now, o.Mark, true)
+				set.MarkWritten(now, o.Mark, true)
 			}
 			process()
 		}
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -338,7 +338,7 @@
 // Kept says that a mark is on stable storage, or that this cannot be told.
 func (c *Core) Kept(now logic.Micros, m Mark, ok bool) {
 	at := c.vols[m.Volume].sets[m.Extent]
-	at.Kept(now, m.Mark, ok)
+	at.MarkWritten(now, m.Mark, ok)
 	c.carry(now, at)
 }
 
