--- a/copies/copies.go
+++ b/copies/copies.go
@@ -402,9 +402,9 @@
 	}
 }
 
-// Gone reports that the client of a change has left. A change that was not sent yet is dropped. Any other goes on, so
+// ClientGone reports that the client of a change has left. A change that was not sent yet is dropped. Any other goes on, so
 // that the copies stay identical; the caller discards its answer.
-func (s *Set) Gone(now logic.Micros, c *Change) {
+func (s *Set) ClientGone(now logic.Micros, c *Change) {
 	if !c.sent && !c.answered {
 		s.answer(c, Refused)
 		s.finishIfDone(now, c)
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -552,7 +552,7 @@
 		},
 		"gone": func(t *rapid.T) {
 			if len(begun) > 0 {
-				set.Gone(now, &begun[rapid.IntRange(0, len(begun)-1).Draw(t, "which")].Change)
+				set.ClientGone(now, &begun[rapid.IntRange(0, len(begun)-1).Draw(t, "which")].Change)
 			}
 		},
 		"pass": func(t *rapid.T) {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -322,7 +322,7 @@
 	op.gone = true
 	c.tally.Gone++
 	for _, ch := range op.changes {
-		ch.mirror.Gone(now, &ch.Change)
+		ch.mirror.ClientGone(now, &ch.Change)
 		c.carry(now, ch.mirror)
 	}
 	for _, p := range op.pieces {
