--- a/copies/copies.go
+++ b/copies/copies.go
@@ -411,9 +411,9 @@
 	}
 }
 
-// Late handles timeouts: leads awaited for too long, deadlines of answers, failed marks to retry and marks that are no
+// HandleTimeouts handles timeouts: leads awaited for too long, deadlines of answers, failed marks to retry and marks that are no
 // longer needed.
-func (s *Set) Late(now logic.Micros) {
+func (s *Set) HandleTimeouts(now logic.Micros) {
 	for _, c := range slices.Clone(s.active) {
 		switch {
 		case c.answered:
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -111,7 +111,7 @@
 		}
 		if x.late {
 			b.now += 200 * ms
-			b.Late(b.now)
+			b.HandleTimeouts(b.now)
 			b.process()
 		}
 		answered := slices.Contains(b.answeredChanges, c)
@@ -189,7 +189,7 @@
 	b.end(b.sentChanges[0], 1, true, false)
 	for range 20 {
 		b.now += sec
-		b.Late(b.now)
+		b.HandleTimeouts(b.now)
 		b.process()
 	}
 	if len(b.marks) != 1 { // the mark of the region that copy 1 has missed
@@ -202,7 +202,7 @@
 		b.end(c, 0, true, false)
 		b.end(c, 1, true, false)
 		b.now += markIdleTime * 3 / 5
-		b.Late(b.now)
+		b.HandleTimeouts(b.now)
 		b.process()
 	}
 	if b.Tally.Marks != marks+1 {
@@ -557,7 +557,7 @@
 		},
 		"pass": func(t *rapid.T) {
 			now += rapid.SampledFrom([]logic.Micros{ms, 60 * ms, 2 * sec, 7 * sec}).Draw(t, "time")
-			set.Late(now)
+			set.HandleTimeouts(now)
 		},
 		"crash": func(t *rapid.T) {
 			if rapid.IntRange(0, 4).Draw(t, "really") > 0 {
@@ -627,7 +627,7 @@
 		}
 		check()
 		now += 11 * sec
-		set.Late(now)
+		set.HandleTimeouts(now)
 		if f, ok, _ := set.Fill(now, allCopies(n)); ok {
 			s := &send{fill: &fillState{Fill: f}}
 			queue[f.Source] = append(queue[f.Source], s)
@@ -676,7 +676,7 @@
 	b.ResetTimer()
 	for range b.N {
 		now += sec
-		s.Late(now)
+		s.HandleTimeouts(now)
 		s.Whole(0)
 		s.Whole(1)
 		s.Fill(now, 1)
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -232,7 +232,7 @@
 		if m.next == 0 || m.next > now {
 			continue
 		}
-		m.Late(now)
+		m.HandleTimeouts(now)
 		c.carry(now, m)
 		m.next = m.Next()
 		if !ms.still {
