--- a/copies/copies.go
+++ b/copies/copies.go
@@ -261,10 +261,10 @@
 
 // ---- changes ----
 
-// Need returns the copies that a change of the bytes [from, to) is sent to if they can be reached. If the change lies
+// Targets returns the copies that a change of the bytes [from, to) is sent to if they can be reached. If the change lies
 // in one region, copies that are stale there are left out, unless they are being caught up: they get the change when
 // they are caught up.
-func (s *Set) Need(from, to int64) (need Mask) {
+func (s *Set) Targets(from, to int64) (need Mask) {
 	s.forEachRegion(from, to, func(_ int64, r *region) {
 		need |= allCopies(s.settings.Copies)
 		if r != nil && r.index == from/s.settings.Region && r.index == (to-1)/s.settings.Region {
@@ -276,7 +276,7 @@
 
 // Begin accepts or refuses a change. Ready are the copies that can be reached and may be sent to.
 func (s *Set) Begin(now logic.Micros, c *Change, ready Mask) {
-	c.Sent = s.Need(c.From, c.To) & ready
+	c.Sent = s.Targets(c.From, c.To) & ready
 	c.leadWaitUntil = min(now+logic.Micros(leadWaitShare*float64(c.Aim)), c.By)
 	upToDate := ready
 	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -231,7 +231,7 @@
 	if _, ok, _ := b.Fill(b.now, 3); ok {
 		t.Fatal("a second fill of the same region started")
 	}
-	if need := b.Need(170, 180); need != 3 {
+	if need := b.Targets(170, 180); need != 3 {
 		t.Fatalf("a change during the fill goes to %b, want both copies", need)
 	}
 	miss(170, 180)
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -56,7 +56,7 @@
 	ch := &change{mirror: m, op: op, from: at - op.Offset, len: n, part: part}
 	ch.From, ch.To, ch.Owner = at-m.x.Start, at-m.x.Start+n, ch
 	ch.Aim, ch.By, ch.Harmless = class.Aim, by, class.Repeat == logic.Retryable
-	ready, need := copies.Mask(0), m.Need(ch.From, ch.To)
+	ready, need := copies.Mask(0), m.Targets(ch.From, ch.To)
 	for i, p := range m.x.Copies {
 		if !c.reach(p.Cell) {
 			continue
