--- a/copies/copies.go
+++ b/copies/copies.go
@@ -742,8 +742,8 @@
 // Stale returns the number of regions with a stale copy.
 func (s *Set) Stale() int { return s.numStaleRegions }
 
-// Whole reports whether a copy is up to date in all regions.
-func (s *Set) Whole(copy int) bool { return s.numStaleByCopy[copy] == 0 }
+// UpToDate reports whether a copy is up to date in all regions.
+func (s *Set) UpToDate(copy int) bool { return s.numStaleByCopy[copy] == 0 }
 
 // Fill returns the next range to catch up between copies that can be reached. If there is none now, wait is the time
 // until the next call, or 0 if nothing is stale. From this call on changes are sent to the target too, and the caller
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -262,7 +262,7 @@
 	b.now += 3 * sec
 	f, _, _ = b.Fill(b.now, 3)
 	b.Filled(b.now, f, true, 0)
-	if b.Stale() != 0 || !b.Whole(1) || b.readable(110, 200) != 3 {
+	if b.Stale() != 0 || !b.UpToDate(1) || b.readable(110, 200) != 3 {
 		t.Fatalf("%d stale regions, want all up to date", b.Stale())
 	}
 }
@@ -380,7 +380,7 @@
 			b.Filled(b.now, f, true, 0)
 		}
 	}
-	if len(filled) < 10 || first < 4 || b.Whole(1) || !b.Whole(0) {
+	if len(filled) < 10 || first < 4 || b.UpToDate(1) || !b.UpToDate(0) {
 		t.Errorf("%d regions caught up in %d calls, the first in call %d", len(filled), calls, first)
 	}
 }
@@ -677,8 +677,8 @@
 	for range b.N {
 		now += sec
 		s.HandleTimeouts(now)
-		s.Whole(0)
-		s.Whole(1)
+		s.UpToDate(0)
+		s.UpToDate(1)
 		s.Fill(now, 1)
 	}
 }
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -372,7 +372,7 @@
 			}
 			at := Mirrored{Volume: i, Extent: j, Stale: m.Stale(), Tally: m.Tally}
 			for k := range m.x.Copies {
-				at.Whole = append(at.Whole, m.Whole(k))
+				at.Whole = append(at.Whole, m.UpToDate(k))
 			}
 			out = append(out, at)
 		}
