--- a/copies/copies.go
+++ b/copies/copies.go
@@ -218,9 +218,9 @@
 
 func (s *Set) emit(o Output) { s.outputs = append(s.outputs, o) }
 
-// Remember restores a mark of an earlier process; it must be called before any other method. All copies but the lead
+// RestoreMark restores a mark of an earlier process; it must be called before any other method. All copies but the lead
 // count as stale, because writes of that process that were still in flight may have reached any of them.
-func (s *Set) Remember(m Mark) error {
+func (s *Set) RestoreMark(m Mark) error {
 	if m.Region < 0 || m.Region*s.settings.Region >= s.settings.Size || m.Lead < 0 || m.Lead >= s.settings.Copies {
 		return fmt.Errorf("copies: invalid mark of region %d with lead %d: the extent has %d copies of %d bytes", m.Region, m.Lead, s.settings.Copies, s.settings.Size)
 	}
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -174,7 +174,7 @@
 	}
 	again := newHarness(t, Settings{2, 1, 100, 1000})
 	for n, lead := range b.marks {
-		if err := again.Remember(Mark{n, lead}); err != nil {
+		if err := again.RestoreMark(Mark{n, lead}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -182,7 +182,7 @@
 		t.Fatalf("%d stale regions", again.Stale())
 	}
 	for _, m := range []Mark{{-1, 0}, {10, 0}, {0, 2}, {0, -1}} {
-		if again.Remember(m) == nil {
+		if again.RestoreMark(m) == nil {
 			t.Errorf("invalid mark %v was accepted", m)
 		}
 	}
@@ -360,7 +360,7 @@
 	const n = 5 * maxRegionsScanned
 	b := newHarness(t, Settings{2, 1, 100, n * 100})
 	for i := range int64(n) {
-		if err := b.Remember(Mark{i, int(i / (n - 10))}); err != nil { // copy 1 leads the last regions
+		if err := b.RestoreMark(Mark{i, int(i / (n - 10))}); err != nil { // copy 1 leads the last regions
 			t.Fatal(err)
 		}
 	}
@@ -586,7 +586,7 @@
 			set, _ = New(config)
 			for n := range int64(numBlocks / 4) {
 				if lead, ok := marks[n]; ok {
-					if err := set.Remember(Mark{n, lead}); err != nil {
+					if err := set.RestoreMark(Mark{n, lead}); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -670,7 +670,7 @@
 func BenchmarkStale(b *testing.B) {
 	s, _ := New(Settings{2, 1, 1 << 20, 1 << 40})
 	for i := range int64(1 << 20) {
-		s.Remember(Mark{i, 0})
+		s.RestoreMark(Mark{i, 0})
 	}
 	now := sec
 	b.ResetTimer()
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -345,7 +345,7 @@
 // RememberMark takes up a mark of an earlier process, before anything happens.
 func (c *Core) RememberMark(m Mark) error {
 	at := c.vols[m.Volume].sets[m.Extent]
-	if err := at.Remember(m.Mark); err != nil {
+	if err := at.RestoreMark(m.Mark); err != nil {
 		return err
 	}
 	c.carry(0, at)
