--- a/copies/copies.go
+++ b/copies/copies.go
@@ -645,8 +645,8 @@
 	return m, end
 }
 
-// Seen is the state of a copy that is used to choose where a read goes.
-type Seen struct {
+// CopyState is the state of a copy that is used to choose where a read goes.
+type CopyState struct {
 	Home  bool
 	Ready bool         // a node that accepts work serves it
 	Takes logic.Micros // expected time to an answer, by the reports of its nodes
@@ -655,8 +655,8 @@
 // chooseCopy chooses the copy in m that a read goes to: a ready one in the home zone if it can answer within the aim,
 // else one in another zone that can, or that takes less than half the time; else the one at home. Home is the fastest
 // ready copy in the home zone, or -1 if there is none.
-func chooseCopy(m Mask, seen []Seen, aim logic.Micros) (copy, home int) {
-	best := func(ok func(x *Seen) bool) int {
+func chooseCopy(m Mask, seen []CopyState, aim logic.Micros) (copy, home int) {
+	best := func(ok func(x *CopyState) bool) int {
 		at := -1
 		for i := range seen {
 			if x := &seen[i]; m.Has(i) && x.Ready && ok(x) && (at < 0 || x.Takes < seen[at].Takes) {
@@ -665,11 +665,11 @@
 		}
 		return at
 	}
-	home = best(func(x *Seen) bool { return x.Home })
+	home = best(func(x *CopyState) bool { return x.Home })
 	if home >= 0 && seen[home].Takes <= aim {
 		return home, home
 	}
-	away := best(func(x *Seen) bool { return !x.Home })
+	away := best(func(x *CopyState) bool { return !x.Home })
 	switch {
 	case away < 0 && home < 0:
 		return m.First(), -1 // none is ready; the read is refused there with a retry delay
@@ -696,7 +696,7 @@
 
 // First chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home. If
 // the read is refused, At is the copy that it may not go to.
-func (r *Read) First(m Mask, seen []Seen, ask Ask) (wait logic.Micros, ok bool) {
+func (r *Read) First(m Mask, seen []CopyState, ask Ask) (wait logic.Micros, ok bool) {
 	copy, home := chooseCopy(m, seen, r.Aim)
 	wait, ok = ask(copy)
 	if !ok && home >= 0 && copy != home {
@@ -716,7 +716,7 @@
 // Again reports whether a read that was not served at a copy is retried as the same request, after the given number of
 // tries; if so, At is the copy. A read that was given up early in favour of a copy that it may not go to stays at its
 // copy and may be late.
-func (r *Read) Again(now logic.Micros, m Mask, seen []Seen, tries int, ask Ask) bool {
+func (r *Read) Again(now logic.Micros, m Mask, seen []CopyState, tries int, ask Ask) bool {
 	if m &^= r.tried; m == 0 || now >= r.By || r.Most > 0 && tries >= r.Most {
 		return false
 	}
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -286,26 +286,26 @@
 }
 
 func TestReadGoes(t *testing.T) {
-	home, away, down := Seen{true, true, 10}, Seen{false, true, 10}, Seen{false, false, 0}
-	late := func(s Seen, t logic.Micros) Seen { s.Takes = t; return s }
+	home, away, down := CopyState{true, true, 10}, CopyState{false, true, 10}, CopyState{false, false, 0}
+	late := func(s CopyState, t logic.Micros) CopyState { s.Takes = t; return s }
 	for _, x := range []struct {
 		m      Mask
-		seen   []Seen
+		seen   []CopyState
 		copy   int
 		spills bool
 		once   bool
 	}{
-		{3, []Seen{away, home}, 1, false, true},
-		{1, []Seen{away, home}, 0, false, false},                         // the copy at home is stale
-		{3, []Seen{away, late(home, 90)}, 1, false, true},                // slower, but within the aim
-		{3, []Seen{away, late(home, 200)}, 0, true, true},                // beyond the aim at home
-		{3, []Seen{late(away, 180), late(home, 200)}, 1, false, true},    // all beyond the aim, away not twice as fast
-		{3, []Seen{late(away, 150), late(home, 2000)}, 0, true, true},    // all beyond the aim, away twice as fast
-		{7, []Seen{late(home, 50), home, away}, 1, false, true},          // the faster of two at home
-		{3, []Seen{down, away}, 1, false, false},                         //
-		{3, []Seen{down, down}, 0, false, false},                         // none is ready: the lowest, which refuses
-		{6, []Seen{home, down, late(away, 5000)}, 2, false, false},       // the only ready copy that may be read
-		{3, []Seen{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
+		{3, []CopyState{away, home}, 1, false, true},
+		{1, []CopyState{away, home}, 0, false, false},                         // the copy at home is stale
+		{3, []CopyState{away, late(home, 90)}, 1, false, true},                // slower, but within the aim
+		{3, []CopyState{away, late(home, 200)}, 0, true, true},                // beyond the aim at home
+		{3, []CopyState{late(away, 180), late(home, 200)}, 1, false, true},    // all beyond the aim, away not twice as fast
+		{3, []CopyState{late(away, 150), late(home, 2000)}, 0, true, true},    // all beyond the aim, away twice as fast
+		{7, []CopyState{late(home, 50), home, away}, 1, false, true},          // the faster of two at home
+		{3, []CopyState{down, away}, 1, false, false},                         //
+		{3, []CopyState{down, down}, 0, false, false},                         // none is ready: the lowest, which refuses
+		{6, []CopyState{home, down, late(away, 5000)}, 2, false, false},       // the only ready copy that may be read
+		{3, []CopyState{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
 	} {
 		r := Read{Aim: 100, By: 1000}
 		if _, ok := r.First(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.At != x.copy || r.Spills != x.spills || r.Once != x.once {
@@ -317,13 +317,13 @@
 // A read that was not served is retried at a copy that it was not tried at, while it has time and attempts. If it may
 // not cross zones, it goes to the copy at home, stays, or is refused with a retry delay.
 func TestReadGoesOn(t *testing.T) {
-	home, away := Seen{true, true, 10}, Seen{false, true, 10}
-	slow := Seen{true, true, 5000}
+	home, away := CopyState{true, true, 10}, CopyState{false, true, 10}
+	slow := CopyState{true, true, 5000}
 	yes := func(int) (logic.Micros, bool) { return 0, true }
 	homeOnly := func(copy int) (logic.Micros, bool) { return 7, copy == 0 }
 	for _, x := range []struct {
 		name         string
-		first, later []Seen
+		first, later []CopyState
 		ask          Ask // of both calls
 		now          logic.Micros
 		tries        int
@@ -332,14 +332,14 @@
 		at           int
 		spills       bool
 	}{
-		{"elsewhere", []Seen{home, away}, []Seen{home, away}, yes, 10, 1, true, true, 1, true},
-		{"too late", []Seen{home, away}, []Seen{home, away}, yes, 1000, 1, true, false, 0, false},
-		{"no attempts left", []Seen{home, away}, []Seen{home, away}, yes, 10, 4, true, false, 0, false},
-		{"may not cross: stays", []Seen{home, away}, []Seen{slow, away}, homeOnly, 10, 0, true, true, 0, false},
-		{"may not cross, and home is gone", []Seen{home, away}, []Seen{{true, false, 0}, away}, homeOnly, 10, 0, true, false, 0, false},
-		{"a spill may not cross", []Seen{slow, away}, []Seen{slow, away}, homeOnly, 10, 0, true, true, 0, false},
-		{"no other is in reach", []Seen{home, {false, false, 0}}, []Seen{home, {false, false, 0}}, yes, 10, 1, true, false, 0, false},
-		{"refused", []Seen{{true, false, 0}, away}, []Seen{home, away}, homeOnly, 10, 0, false, false, 1, false},
+		{"elsewhere", []CopyState{home, away}, []CopyState{home, away}, yes, 10, 1, true, true, 1, true},
+		{"too late", []CopyState{home, away}, []CopyState{home, away}, yes, 1000, 1, true, false, 0, false},
+		{"no attempts left", []CopyState{home, away}, []CopyState{home, away}, yes, 10, 4, true, false, 0, false},
+		{"may not cross: stays", []CopyState{home, away}, []CopyState{slow, away}, homeOnly, 10, 0, true, true, 0, false},
+		{"may not cross, and home is gone", []CopyState{home, away}, []CopyState{{true, false, 0}, away}, homeOnly, 10, 0, true, false, 0, false},
+		{"a spill may not cross", []CopyState{slow, away}, []CopyState{slow, away}, homeOnly, 10, 0, true, true, 0, false},
+		{"no other is in reach", []CopyState{home, {false, false, 0}}, []CopyState{home, {false, false, 0}}, yes, 10, 1, true, false, 0, false},
+		{"refused", []CopyState{{true, false, 0}, away}, []CopyState{home, away}, homeOnly, 10, 0, false, false, 1, false},
 	} {
 		r := Read{Aim: 100, By: 1000, Most: 4}
 		wait, ok := r.First(3, x.first, x.ask)
