--- a/copies/copies.go
+++ b/copies/copies.go
@@ -647,9 +647,9 @@
 
 // CopyState is the state of a copy that is used to choose where a read goes.
 type CopyState struct {
-	Home  bool
-	Ready bool         // a node that accepts work serves it
-	Takes logic.Micros // expected time to an answer, by the reports of its nodes
+	Home         bool
+	Ready        bool         // a node that accepts work serves it
+	ExpectedTime logic.Micros // expected time to an answer, by the reports of its nodes
 }
 
 // chooseCopy chooses the copy in m that a read goes to: a ready one in the home zone if it can answer within the aim,
@@ -659,21 +659,21 @@
 	best := func(ok func(x *CopyState) bool) int {
 		at := -1
 		for i := range seen {
-			if x := &seen[i]; m.Has(i) && x.Ready && ok(x) && (at < 0 || x.Takes < seen[at].Takes) {
+			if x := &seen[i]; m.Has(i) && x.Ready && ok(x) && (at < 0 || x.ExpectedTime < seen[at].ExpectedTime) {
 				at = i
 			}
 		}
 		return at
 	}
 	home = best(func(x *CopyState) bool { return x.Home })
-	if home >= 0 && seen[home].Takes <= aim {
+	if home >= 0 && seen[home].ExpectedTime <= aim {
 		return home, home
 	}
 	away := best(func(x *CopyState) bool { return !x.Home })
 	switch {
 	case away < 0 && home < 0:
 		return m.First(), -1 // none is ready; the read is refused there with a retry delay
-	case away >= 0 && (home < 0 || seen[away].Takes <= aim || seen[away].Takes < seen[home].Takes/2):
+	case away >= 0 && (home < 0 || seen[away].ExpectedTime <= aim || seen[away].ExpectedTime < seen[home].ExpectedTime/2):
 		return away, home
 	}
 	return home, home
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -287,7 +287,7 @@
 
 func TestReadGoes(t *testing.T) {
 	home, away, down := CopyState{true, true, 10}, CopyState{false, true, 10}, CopyState{false, false, 0}
-	late := func(s CopyState, t logic.Micros) CopyState { s.Takes = t; return s }
+	late := func(s CopyState, t logic.Micros) CopyState { s.ExpectedTime = t; return s }
 	for _, x := range []struct {
 		m      Mask
 		seen   []CopyState
