--- a/copies/copies.go
+++ b/copies/copies.go
@@ -690,13 +690,13 @@
 	tried  Mask
 }
 
-// Ask requests admission of a read at a copy from the budget for bytes between zones; wait is the retry delay of a
+// Admitter requests admission of a read at a copy from the budget for bytes between zones; wait is the retry delay of a
 // refusal.
-type Ask func(copy int) (wait logic.Micros, ok bool)
+type Admitter func(copy int) (wait logic.Micros, ok bool)
 
 // First chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home. If
 // the read is refused, At is the copy that it may not go to.
-func (r *Read) First(m Mask, seen []CopyState, ask Ask) (wait logic.Micros, ok bool) {
+func (r *Read) First(m Mask, seen []CopyState, ask Admitter) (wait logic.Micros, ok bool) {
 	copy, home := chooseCopy(m, seen, r.Aim)
 	wait, ok = ask(copy)
 	if !ok && home >= 0 && copy != home {
@@ -716,7 +716,7 @@
 // Again reports whether a read that was not served at a copy is retried as the same request, after the given number of
 // tries; if so, At is the copy. A read that was given up early in favour of a copy that it may not go to stays at its
 // copy and may be late.
-func (r *Read) Again(now logic.Micros, m Mask, seen []CopyState, tries int, ask Ask) bool {
+func (r *Read) Again(now logic.Micros, m Mask, seen []CopyState, tries int, ask Admitter) bool {
 	if m &^= r.tried; m == 0 || now >= r.By || r.Most > 0 && tries >= r.Most {
 		return false
 	}
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -324,7 +324,7 @@
 	for _, x := range []struct {
 		name         string
 		first, later []CopyState
-		ask          Ask // of both calls
+		ask          Admitter // of both calls
 		now          logic.Micros
 		tries        int
 		ok           bool // result of First
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -184,7 +184,7 @@
 }
 
 // asking asks the crossing budget for a read.
-func (c *Core) asking(now logic.Micros, p *piece) copies.Ask {
+func (c *Core) asking(now logic.Micros, p *piece) copies.Admitter {
 	return func(copy int) (wait logic.Micros, ok bool) {
 		asked, wait, ok := c.ask(now, p.op.Class, p.extent.Copies[copy].Cell, p.len)
 		p.asked += asked
