--- a/copies/copies.go
+++ b/copies/copies.go
@@ -694,9 +694,9 @@
 // refusal.
 type Admitter func(copy int) (wait logic.Micros, ok bool)
 
-// First chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home. If
+// Choose chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home. If
 // the read is refused, At is the copy that it may not go to.
-func (r *Read) First(m Mask, seen []CopyState, ask Admitter) (wait logic.Micros, ok bool) {
+func (r *Read) Choose(m Mask, seen []CopyState, ask Admitter) (wait logic.Micros, ok bool) {
 	copy, home := chooseCopy(m, seen, r.Aim)
 	wait, ok = ask(copy)
 	if !ok && home >= 0 && copy != home {
@@ -721,7 +721,7 @@
 		return false
 	}
 	previous := *r
-	if _, ok := r.First(m, seen, ask); ok && seen[r.At].Ready {
+	if _, ok := r.Choose(m, seen, ask); ok && seen[r.At].Ready {
 		r.Spills = r.Spills || seen[previous.At].Home
 		return true
 	}
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -308,7 +308,7 @@
 		{3, []CopyState{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
 	} {
 		r := Read{Aim: 100, By: 1000}
-		if _, ok := r.First(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.At != x.copy || r.Spills != x.spills || r.Once != x.once {
+		if _, ok := r.Choose(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.At != x.copy || r.Spills != x.spills || r.Once != x.once {
 			t.Errorf("%b of %v: %+v", x.m, x.seen, r)
 		}
 	}
@@ -342,7 +342,7 @@
 		{"refused", []CopyState{{true, false, 0}, away}, []CopyState{home, away}, homeOnly, 10, 0, false, false, 1, false},
 	} {
 		r := Read{Aim: 100, By: 1000, Most: 4}
-		wait, ok := r.First(3, x.first, x.ask)
+		wait, ok := r.Choose(3, x.first, x.ask)
 		if ok != x.ok || !ok && wait != 7 {
 			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
 		}
