--- a/copies/copies.go
+++ b/copies/copies.go
@@ -713,10 +713,10 @@
 	return wait, ok
 }
 
-// Again reports whether a read that was not served at a copy is retried as the same request, after the given number of
+// Retry reports whether a read that was not served at a copy is retried as the same request, after the given number of
 // tries; if so, At is the copy. A read that was given up early in favour of a copy that it may not go to stays at its
 // copy and may be late.
-func (r *Read) Again(now logic.Micros, m Mask, seen []CopyState, tries int, ask Admitter) bool {
+func (r *Read) Retry(now logic.Micros, m Mask, seen []CopyState, tries int, ask Admitter) bool {
 	if m &^= r.tried; m == 0 || now >= r.By || r.Most > 0 && tries >= r.Most {
 		return false
 	}
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -346,10 +346,10 @@
 		if ok != x.ok || !ok && wait != 7 {
 			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
 		}
-		if got := r.Again(x.now, 3, x.later, x.tries, x.ask); got != x.again || r.At != x.at || r.Spills != x.spills {
+		if got := r.Retry(x.now, 3, x.later, x.tries, x.ask); got != x.again || r.At != x.at || r.Spills != x.spills {
 			t.Errorf("%s: Again gives %v, %+v", x.name, got, r)
 		}
-		if x.again && r.Again(x.now, 3, x.later, x.tries, x.ask) {
+		if x.again && r.Retry(x.now, 3, x.later, x.tries, x.ask) {
 			t.Errorf("%s: retried a second time: %+v", x.name, r)
 		}
 	}
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -200,7 +200,7 @@
 	from := p.op.Offset + p.from - p.extent.Start
 	mask, end := p.set.Readable(from, from+p.len)
 	seen := c.seen(p)
-	if end < from+p.len || !p.way.Again(now, mask, seen[:len(p.extent.Copies)], p.tries, c.asking(now, p)) {
+	if end < from+p.len || !p.way.Retry(now, mask, seen[:len(p.extent.Copies)], p.tries, c.asking(now, p)) {
 		return false
 	}
 	c.go_(p)
