--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -341,7 +341,7 @@
 		{"no other is in reach", []CopyState{home, {false, false, 0}}, []CopyState{home, {false, false, 0}}, yes, 10, 1, true, false, 0, false},
 		{"refused", []CopyState{{true, false, 0}, away}, []CopyState{home, away}, homeOnly, 10, 0, false, false, 1, false},
 	} {
-		r := Read{Aim: 100, By: 1000, Most: 4}
+		r := Read{Aim: 100, By: 1000, MaxAttempts: 4}
 		wait, ok := r.Choose(3, x.first, x.ask)
 		if ok != x.ok || !ok && wait != 7 {
 			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
