--- a/copies/copies.go
+++ b/copies/copies.go
@@ -684,7 +684,7 @@
 	Aim, By     logic.Micros
 	MaxAttempts int // maximum number of attempts; 0: no limit
 
-	At     int  // copy that it goes to
+	Copy   int  // copy that it goes to
 	Spills bool // bytes cross zones although there is a copy in the home zone
 	Once   bool // another copy is left to try: the read is given up early at this one
 	tried  Mask
@@ -702,7 +702,7 @@
 	if !ok && home >= 0 && copy != home {
 		copy, ok = home, true
 	}
-	r.At, r.Spills, r.Once = copy, home >= 0 && copy != home, false
+	r.Copy, r.Spills, r.Once = copy, home >= 0 && copy != home, false
 	r.tried |= MaskOf(copy)
 	for i := range seen {
 		r.Once = r.Once || i != copy && (m&^r.tried).Has(i) && seen[i].Ready
@@ -721,12 +721,12 @@
 		return false
 	}
 	previous := *r
-	if _, ok := r.Choose(m, seen, ask); ok && seen[r.At].Ready {
-		r.Spills = r.Spills || seen[previous.At].Home
+	if _, ok := r.Choose(m, seen, ask); ok && seen[r.Copy].Ready {
+		r.Spills = r.Spills || seen[previous.Copy].Home
 		return true
 	}
-	r.At, r.Spills, r.Once = previous.At, previous.Spills, false
-	return previous.Once && seen[previous.At].Ready
+	r.Copy, r.Spills, r.Once = previous.Copy, previous.Spills, false
+	return previous.Once && seen[previous.Copy].Ready
 }
 
 // ---- catching up ----
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -173,7 +173,7 @@
 }
 
 // go_ points a read at the copy that it goes to.
-func (c *Core) go_(p *piece) { p.copy, p.place = p.way.At, &p.extent.Copies[p.way.At] }
+func (c *Core) go_(p *piece) { p.copy, p.place = p.way.Copy, &p.extent.Copies[p.way.Copy] }
 
 // seen is what is known of the copies that a read may go to.
 func (c *Core) seen(p *piece) (seen [copies.MaxCopies]copies.CopyState) {
