--- a/copies/copies.go
+++ b/copies/copies.go
@@ -684,10 +684,10 @@
 	Aim, By     logic.Micros
 	MaxAttempts int // maximum number of attempts; 0: no limit
 
-	Copy   int  // copy that it goes to
-	Spills bool // bytes cross zones although there is a copy in the home zone
-	Once   bool // another copy is left to try: the read is given up early at this one
-	tried  Mask
+	Copy         int  // copy that it goes to
+	CrossesZones bool // bytes cross zones although there is a copy in the home zone
+	Once         bool // another copy is left to try: the read is given up early at this one
+	tried        Mask
 }
 
 // Admitter requests admission of a read at a copy from the budget for bytes between zones; wait is the retry delay of a
@@ -702,7 +702,7 @@
 	if !ok && home >= 0 && copy != home {
 		copy, ok = home, true
 	}
-	r.Copy, r.Spills, r.Once = copy, home >= 0 && copy != home, false
+	r.Copy, r.CrossesZones, r.Once = copy, home >= 0 && copy != home, false
 	r.tried |= MaskOf(copy)
 	for i := range seen {
 		r.Once = r.Once || i != copy && (m&^r.tried).Has(i) && seen[i].Ready
@@ -722,10 +722,10 @@
 	}
 	previous := *r
 	if _, ok := r.Choose(m, seen, ask); ok && seen[r.Copy].Ready {
-		r.Spills = r.Spills || seen[previous.Copy].Home
+		r.CrossesZones = r.CrossesZones || seen[previous.Copy].Home
 		return true
 	}
-	r.Copy, r.Spills, r.Once = previous.Copy, previous.Spills, false
+	r.Copy, r.CrossesZones, r.Once = previous.Copy, previous.CrossesZones, false
 	return previous.Once && seen[previous.Copy].Ready
 }
 
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -308,7 +308,7 @@
 		{3, []CopyState{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
 	} {
 		r := Read{Aim: 100, By: 1000}
-		if _, ok := r.Choose(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.Copy != x.copy || r.Spills != x.spills || r.Once != x.once {
+		if _, ok := r.Choose(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.Copy != x.copy || r.CrossesZones != x.spills || r.Once != x.once {
 			t.Errorf("%b of %v: %+v", x.m, x.seen, r)
 		}
 	}
@@ -346,7 +346,7 @@
 		if ok != x.ok || !ok && wait != 7 {
 			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
 		}
-		if got := r.Retry(x.now, 3, x.later, x.tries, x.ask); got != x.again || r.Copy != x.at || r.Spills != x.spills {
+		if got := r.Retry(x.now, 3, x.later, x.tries, x.ask); got != x.again || r.Copy != x.at || r.CrossesZones != x.spills {
 			t.Errorf("%s: Again gives %v, %+v", x.name, got, r)
 		}
 		if x.again && r.Retry(x.now, 3, x.later, x.tries, x.ask) {
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -127,7 +127,7 @@
 		return Again
 	case p.change != nil:
 		return Copied
-	case p.way.Spills:
+	case p.way.CrossesZones:
 		return Spill
 	}
 	return NoCopyHere
