--- a/copies/copies.go
+++ b/copies/copies.go
@@ -686,7 +686,7 @@
 
 	Copy         int  // copy that it goes to
 	CrossesZones bool // bytes cross zones although there is a copy in the home zone
-	Once         bool // another copy is left to try: the read is given up early at this one
+	GiveUpEarly  bool // another copy is left to try: the read is given up early at this one
 	tried        Mask
 }
 
@@ -702,10 +702,10 @@
 	if !ok && home >= 0 && copy != home {
 		copy, ok = home, true
 	}
-	r.Copy, r.CrossesZones, r.Once = copy, home >= 0 && copy != home, false
+	r.Copy, r.CrossesZones, r.GiveUpEarly = copy, home >= 0 && copy != home, false
 	r.tried |= MaskOf(copy)
 	for i := range seen {
-		r.Once = r.Once || i != copy && (m&^r.tried).Has(i) && seen[i].Ready
+		r.GiveUpEarly = r.GiveUpEarly || i != copy && (m&^r.tried).Has(i) && seen[i].Ready
 	}
 	if !ok {
 		r.tried |= m // no retry after a refusal
@@ -725,8 +725,8 @@
 		r.CrossesZones = r.CrossesZones || seen[previous.Copy].Home
 		return true
 	}
-	r.Copy, r.CrossesZones, r.Once = previous.Copy, previous.CrossesZones, false
-	return previous.Once && seen[previous.Copy].Ready
+	r.Copy, r.CrossesZones, r.GiveUpEarly = previous.Copy, previous.CrossesZones, false
+	return previous.GiveUpEarly && seen[previous.Copy].Ready
 }
 
 // ---- catching up ----
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -308,7 +308,7 @@
 		{3, []CopyState{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
 	} {
 		r := Read{Aim: 100, By: 1000}
-		if _, ok := r.Choose(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.Copy != x.copy || r.CrossesZones != x.spills || r.Once != x.once {
+		if _, ok := r.Choose(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.Copy != x.copy || r.CrossesZones != x.spills || r.GiveUpEarly != x.once {
 			t.Errorf("%b of %v: %+v", x.m, x.seen, r)
 		}
 	}
