--- a/copies/copies.go
+++ b/copies/copies.go
@@ -681,8 +681,8 @@
 
 // Read is a read that goes to one of the copies.
 type Read struct {
-	Aim, By     logic.Micros
-	MaxAttempts int // maximum number of attempts; 0: no limit
+	Aim, Deadline logic.Micros
+	MaxAttempts   int // maximum number of attempts; 0: no limit
 
 	Copy         int  // copy that it goes to
 	CrossesZones bool // bytes cross zones although there is a copy in the home zone
@@ -717,7 +717,7 @@
 // tries; if so, At is the copy. A read that was given up early in favour of a copy that it may not go to stays at its
 // copy and may be late.
 func (r *Read) Retry(now logic.Micros, m Mask, seen []CopyState, tries int, ask Admitter) bool {
-	if m &^= r.tried; m == 0 || now >= r.By || r.MaxAttempts > 0 && tries >= r.MaxAttempts {
+	if m &^= r.tried; m == 0 || now >= r.Deadline || r.MaxAttempts > 0 && tries >= r.MaxAttempts {
 		return false
 	}
 	previous := *r
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -307,7 +307,7 @@
 		{6, []CopyState{home, down, late(away, 5000)}, 2, false, false},       // the only ready copy that may be read
 		{3, []CopyState{{true, false, 0}, late(away, 5000)}, 1, false, false}, // no copy at home is in reach
 	} {
-		r := Read{Aim: 100, By: 1000}
+		r := Read{Aim: 100, Deadline: 1000}
 		if _, ok := r.Choose(x.m, x.seen, func(int) (logic.Micros, bool) { return 0, true }); !ok || r.Copy != x.copy || r.CrossesZones != x.spills || r.GiveUpEarly != x.once {
 			t.Errorf("%b of %v: %+v", x.m, x.seen, r)
 		}
@@ -341,7 +341,7 @@
 		{"no other is in reach", []CopyState{home, {false, false, 0}}, []CopyState{home, {false, false, 0}}, yes, 10, 1, true, false, 0, false},
 		{"refused", []CopyState{{true, false, 0}, away}, []CopyState{home, away}, homeOnly, 10, 0, false, false, 1, false},
 	} {
-		r := Read{Aim: 100, By: 1000, MaxAttempts: 4}
+		r := Read{Aim: 100, Deadline: 1000, MaxAttempts: 4}
 		wait, ok := r.Choose(3, x.first, x.ask)
 		if ok != x.ok || !ok && wait != 7 {
 			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -159,7 +159,7 @@
 		mask, to := m.Readable(at-m.x.Start, end-m.x.Start)
 		to += m.x.Start
 		p := c.newPiece(op, m.vol, m.x, 0, at-op.Offset, to-at, by)
-		p.set, p.way = m, copies.Read{Aim: c.cfg.Logic.Classes[op.Class].Aim, By: by, MaxAttempts: c.cfg.Logic.MaxAttempts}
+		p.set, p.way = m, copies.Read{Aim: c.cfg.Logic.Classes[op.Class].Aim, Deadline: by, MaxAttempts: c.cfg.Logic.MaxAttempts}
 		seen := c.seen(p)
 		wait, ok := p.way.Choose(mask, seen[:len(m.x.Copies)], c.asking(now, p))
 		if c.go_(p); ok {
