--- a/copies/copies.go
+++ b/copies/copies.go
@@ -127,7 +127,7 @@
 type Change struct {
 	From, To int64
 	Aim      logic.Micros // response time that the class promises
-	By       logic.Micros // deadline of its answer
+	Deadline logic.Micros // deadline of its answer
 	Harmless bool         // repeating it is harmless even if it may have run: it is refused rather than failed
 	Owner    any          // opaque value of the caller
 
@@ -277,7 +277,7 @@
 // Begin accepts or refuses a change. Ready are the copies that can be reached and may be sent to.
 func (s *Set) Begin(now logic.Micros, c *Change, ready Mask) {
 	c.Sent = s.Targets(c.From, c.To) & ready
-	c.leadWaitUntil = min(now+logic.Micros(leadWaitShare*float64(c.Aim)), c.By)
+	c.leadWaitUntil = min(now+logic.Micros(leadWaitShare*float64(c.Aim)), c.Deadline)
 	upToDate := ready
 	s.forEachRegion(c.From, c.To, func(_ int64, r *region) {
 		if r != nil {
@@ -417,10 +417,10 @@
 	for _, c := range slices.Clone(s.active) {
 		switch {
 		case c.answered:
-		case c.By <= now && c.sent:
+		case c.Deadline <= now && c.sent:
 			s.answer(c, Failed)
 			s.finishIfDone(now, c)
-		case c.By <= now:
+		case c.Deadline <= now:
 			s.answer(c, Refused)
 			s.finishIfDone(now, c)
 		case c.leadWaitUntil > 0 && c.leadWaitUntil <= now:
@@ -475,7 +475,7 @@
 	}
 	for _, c := range s.active {
 		if !c.answered {
-			consider(c.By)
+			consider(c.Deadline)
 			if c.leadWaitUntil > 0 {
 				consider(c.leadWaitUntil)
 			}
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -50,7 +50,7 @@
 }
 
 func (b *harness) begin(from, to int64, ready Mask) *Change {
-	c := &Change{From: from, To: to, Aim: 200 * ms, By: b.now + sec}
+	c := &Change{From: from, To: to, Aim: 200 * ms, Deadline: b.now + sec}
 	b.Begin(b.now, c, ready)
 	b.process()
 	return c
@@ -493,7 +493,7 @@
 			from := rapid.Int64Range(0, numBlocks-1).Draw(t, "from")
 			c := &change{}
 			c.From, c.To, c.Owner = from, rapid.Int64Range(from+1, min(from+5, numBlocks)).Draw(t, "to"), c
-			c.Aim, c.By = rapid.SampledFrom([]logic.Micros{2 * ms, 100 * ms}).Draw(t, "aim"), now+sec
+			c.Aim, c.Deadline = rapid.SampledFrom([]logic.Micros{2 * ms, 100 * ms}).Draw(t, "aim"), now+sec
 			begun = append(begun, c)
 			set.Begin(now, &c.Change, Mask(rapid.IntRange(0, 1<<n-1).Draw(t, "ready")))
 		},
@@ -656,7 +656,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		from := int64(i%1000) << 20
-		c = Change{From: from, To: from + 4096, By: now + sec}
+		c = Change{From: from, To: from + 4096, Deadline: now + sec}
 		s.Begin(now, &c, 3)
 		s.Ended(now, &c, 0, true, false)
 		s.Ended(now, &c, 1, true, false)
