--- a/copies/copies.go
+++ b/copies/copies.go
@@ -133,7 +133,7 @@
 
 	Sent    Mask // copies that it is sent to
 	Held    Mask // copies that certainly hold it
-	Over    Mask // copies at which it has ended
+	Ended   Mask // copies at which it has ended
 	Verdict Verdict
 	Wait    logic.Micros // retry delay of a refusal; 0: none
 
@@ -147,7 +147,7 @@
 }
 
 // Done reports whether the change is answered and has ended at every copy that it was sent to.
-func (c *Change) Done() bool { return c.answered && (!c.sent || c.Over == c.Sent) }
+func (c *Change) Done() bool { return c.answered && (!c.sent || c.Ended == c.Sent) }
 
 type region struct {
 	index                int64
@@ -382,10 +382,10 @@
 // Ended reports that a change ended at a copy: held if the copy certainly holds it, ran if it may have run there
 // without that certainty.
 func (s *Set) Ended(now logic.Micros, c *Change, copy int, held, ran bool) {
-	if c.Over.Has(copy) || !c.Sent.Has(copy) {
+	if c.Ended.Has(copy) || !c.Sent.Has(copy) {
 		return
 	}
-	c.Over |= MaskOf(copy)
+	c.Ended |= MaskOf(copy)
 	if held {
 		c.Held |= MaskOf(copy)
 	}
@@ -395,7 +395,7 @@
 	s.evaluate(now, c)
 	s.finishIfDone(now, c)
 	for _, o := range slices.Clone(s.active) { // c may have prevented a move of a lead that o waits for
-		if !o.answered && o != c && o.Held != 0 && (o.Over == o.Sent || o.leadWaitUntil == 0) && o.overlaps(c.From-s.settings.Region, c.To+s.settings.Region) {
+		if !o.answered && o != c && o.Held != 0 && (o.Ended == o.Sent || o.leadWaitUntil == 0) && o.overlaps(c.From-s.settings.Region, c.To+s.settings.Region) {
 			s.evaluate(now, o)
 			s.finishIfDone(now, o)
 		}
@@ -505,13 +505,13 @@
 		leadsSettled = leadsSettled && r.marked && (!r.persisting || c.Held.Has(r.pendingLead))
 	})
 	enough := (c.Held & upToDate).Len() >= s.settings.Hold
-	allEnded := c.Over == c.Sent
+	allEnded := c.Ended == c.Sent
 	switch {
 	case enough && heldByLeads:
 		if leadsSettled {
 			s.answer(c, Served)
 		}
-	case c.Held&upToDate != 0 && (allEnded || enough && (leads&c.Sent&^c.Over == 0 || c.leadWaitUntil <= now)):
+	case c.Held&upToDate != 0 && (allEnded || enough && (leads&c.Sent&^c.Ended == 0 || c.leadWaitUntil <= now)):
 		// The change has ended at the leads without being held there, or they are no longer awaited. The lead also
 		// moves if too few copies hold the change: the content of the old lead is unknown then, that of a holding copy
 		// is known.
