--- a/copies/copies.go
+++ b/copies/copies.go
@@ -125,11 +125,11 @@
 
 // Change is a write of the bytes [From, To) of the extent to its copies.
 type Change struct {
-	From, To int64
-	Aim      logic.Micros // response time that the class promises
-	Deadline logic.Micros // deadline of its answer
-	Harmless bool         // repeating it is harmless even if it may have run: it is refused rather than failed
-	Owner    any          // opaque value of the caller
+	From, To   int64
+	Aim        logic.Micros // response time that the class promises
+	Deadline   logic.Micros // deadline of its answer
+	Repeatable bool         // repeating it is harmless even if it may have run: it is refused rather than failed
+	Owner      any          // opaque value of the caller
 
 	Sent    Mask // copies that it is sent to
 	Held    Mask // copies that certainly hold it
@@ -550,7 +550,7 @@
 }
 
 func (s *Set) answer(c *Change, v Verdict) {
-	if c.answered, c.Verdict = true, v; v == Failed && c.Harmless {
+	if c.answered, c.Verdict = true, v; v == Failed && c.Repeatable {
 		c.Verdict = Refused
 	}
 	s.emit(Output{Kind: Answer, Change: c})
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -55,7 +55,7 @@
 	class := &c.cfg.Logic.Classes[op.Class]
 	ch := &change{mirror: m, op: op, from: at - op.Offset, len: n, part: part}
 	ch.From, ch.To, ch.Owner = at-m.x.Start, at-m.x.Start+n, ch
-	ch.Aim, ch.Deadline, ch.Harmless = class.Aim, by, class.Repeat == logic.Retryable
+	ch.Aim, ch.Deadline, ch.Repeatable = class.Aim, by, class.Repeat == logic.Retryable
 	ready, need := copies.Mask(0), m.Targets(ch.From, ch.To)
 	for i, p := range m.x.Copies {
 		if !c.reach(p.Cell) {
