--- a/copies/copies.go
+++ b/copies/copies.go
@@ -131,11 +131,11 @@
 	Repeatable bool         // repeating it is harmless even if it may have run: it is refused rather than failed
 	Owner      any          // opaque value of the caller
 
-	Sent    Mask // copies that it is sent to
-	Held    Mask // copies that certainly hold it
-	Ended   Mask // copies at which it has ended
-	Verdict Verdict
-	Wait    logic.Micros // retry delay of a refusal; 0: none
+	Sent       Mask // copies that it is sent to
+	Held       Mask // copies that certainly hold it
+	Ended      Mask // copies at which it has ended
+	Verdict    Verdict
+	RetryAfter logic.Micros // retry delay of a refusal; 0: none
 
 	leadWaitUntil logic.Micros // its leads are awaited until then; 0: no longer
 	mayHaveRun    Mask         // copies at which it may have run without being held for certain
@@ -288,7 +288,7 @@
 	// differ.
 	if upToDate.Len() < s.settings.Hold {
 		s.Tally.Refused++
-		c.Wait = retryAfter
+		c.RetryAfter = retryAfter
 		s.answer(c, Refused)
 		s.nextScan = c.From / s.settings.Region // catch up the regions in demand first
 		return
@@ -323,7 +323,7 @@
 	switch {
 	case c.pendingMarks > 0 || c.sent || c.answered:
 	case c.markFailed:
-		c.Wait = retryAfter
+		c.RetryAfter = retryAfter
 		s.answer(c, Refused)
 		s.finishIfDone(now, c)
 	default:
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -135,7 +135,7 @@
 	how := [...]ranges.Answer{copies.Served: ranges.Served, copies.Refused: ranges.Refused, copies.Failed: ranges.Failed}[ch.Verdict]
 	wait := ch.wait
 	if wait == 0 && c.cfg.Logic.CoolDowns {
-		wait = min(ch.Wait, c.cfg.Logic.MaxCoolDown)
+		wait = min(ch.RetryAfter, c.cfg.Logic.MaxCoolDown)
 	}
 	c.join(ch.op, how, wait)
 	c.settled(now, ch.op)
