--- a/copies/recall.go
+++ b/copies/recall.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Place identifies a copy independently of the order in which the settings list copies.
-type Place struct {
+// CopyID identifies a copy independently of the order in which the settings list copies.
+type CopyID struct {
 	Cell      int
 	Namespace uint32
 }
@@ -16,13 +16,13 @@
 type Record struct {
 	Volume    uint64
 	From, Len int64 // bytes of the volume
-	Place
+	CopyID
 }
 
 // Extent is a range of a volume's bytes with all its copies, one or more.
 type Extent struct {
 	Start, Len int64
-	Copies     []Place
+	Copies     []CopyID
 }
 
 // Volume describes a volume as needed to interpret its records.
@@ -74,7 +74,7 @@
 			if lo >= hi {
 				continue
 			}
-			lead := slices.Index(x.Copies, r.Place)
+			lead := slices.Index(x.Copies, r.CopyID)
 			if lead < 0 {
 				return out, fmt.Errorf("copies: volume %q, %d bytes from %d: the copy at cell %d, namespace %d, may be the only whole one and is no copy any more; put it back until the others are caught up",
 					v.Name, r.Len, r.From, r.Cell, r.Namespace)
--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -58,7 +58,7 @@
 		for _, x := range v.Extents {
 			e := copies.Extent{Start: x.Start, Len: x.Len}
 			for _, p := range x.Copies {
-				e.Copies = append(e.Copies, copies.Place{Cell: p.Cell, Namespace: p.Namespace})
+				e.Copies = append(e.Copies, copies.CopyID{Cell: p.Cell, Namespace: p.Namespace})
 			}
 			c.Extents = append(c.Extents, e)
 		}
--- a/internal/state/marks.go
+++ b/internal/state/marks.go
@@ -42,7 +42,7 @@
 	}
 	be := binary.BigEndian
 	r = copies.Record{Volume: be.Uint64(k), From: int64(be.Uint64(k[8:])), Len: int64(be.Uint64(v)),
-		Place: copies.Place{Cell: int(be.Uint32(v[8:])), Namespace: be.Uint32(v[12:])}}
+		CopyID: copies.CopyID{Cell: int(be.Uint32(v[8:])), Namespace: be.Uint32(v[12:])}}
 	if r.From < 0 || r.Len <= 0 || r.From+r.Len < 0 {
 		return r, fmt.Errorf("state: marks: %d bytes from %d", r.Len, r.From)
 	}
