--- a/copies/recall.go
+++ b/copies/recall.go
@@ -39,15 +39,15 @@
 	return Record{v.ID, x.Start + from, min(region, x.Len-from), x.Copies[m.Lead]}
 }
 
-// At is a mark with the volume and the mirrored extent that it belongs to.
-type At struct {
+// RegionMark is a mark with the volume and the mirrored extent that it belongs to.
+type RegionMark struct {
 	Volume, Extent int // indexes
 	Mark
 }
 
 // Recalled is the result of interpreting the records of an earlier process.
 type Recalled struct {
-	Marks     []At
+	Marks     []RegionMark
 	Old, With []Record // With must replace Old, because the region boundaries have changed
 	Unknown   []Record // records of volumes that do not exist; they stay as they are
 }
@@ -89,7 +89,7 @@
 				if leads[k] = lead; seen {
 					continue
 				}
-				at := At{i, j, Mark{n, lead}}
+				at := RegionMark{i, j, Mark{n, lead}}
 				current := v.Record(j, at.Mark, region)
 				unchanged = unchanged || current == r
 				out.Marks, out.With = append(out.Marks, at), append(out.With, current)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -42,7 +42,7 @@
 }
 
 // Mark is what must outlast the process of a region of a mirrored extent.
-type Mark = copies.At
+type Mark = copies.RegionMark
 
 // Tally counts what the core has done since it began, and what it holds now.
 type Tally struct {
