--- a/copies/recall.go
+++ b/copies/recall.go
@@ -47,9 +47,9 @@
 
 // Recalled is the result of interpreting the records of an earlier process.
 type Recalled struct {
-	Marks     []RegionMark
-	Old, With []Record // With must replace Old, because the region boundaries have changed
-	Unknown   []Record // records of volumes that do not exist; they stay as they are
+	Marks          []RegionMark
+	Replaced, With []Record // With must replace Old, because the region boundaries have changed
+	Unknown        []Record // records of volumes that do not exist; they stay as they are
 }
 
 // Recall interprets the records of an earlier process. It returns an error if the lead of a record is no longer a copy
@@ -96,7 +96,7 @@
 			}
 		}
 		if !unchanged {
-			out.Old = append(out.Old, r)
+			out.Replaced = append(out.Replaced, r)
 		}
 	}
 	return out, nil
--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -94,10 +94,10 @@
 	if len(found.Marks) > 0 {
 		m.log.Info("regions to be caught up", zap.Int("regions", len(found.Marks)))
 	}
-	if len(found.Old) == 0 {
+	if len(found.Replaced) == 0 {
 		return nil
 	}
-	return m.store.Replace(found.Old, found.With)
+	return m.store.Replace(found.Replaced, found.With)
 }
 
 // watch says in the log when copies become stale and when all are whole again.
