--- a/copies/recall.go
+++ b/copies/recall.go
@@ -47,9 +47,9 @@
 
 // Recalled is the result of interpreting the records of an earlier process.
 type Recalled struct {
-	Marks          []RegionMark
-	Replaced, With []Record // With must replace Old, because the region boundaries have changed
-	Unknown        []Record // records of volumes that do not exist; they stay as they are
+	Marks                  []RegionMark
+	Replaced, Replacements []Record // With must replace Old, because the region boundaries have changed
+	Unknown                []Record // records of volumes that do not exist; they stay as they are
 }
 
 // Recall interprets the records of an earlier process. It returns an error if the lead of a record is no longer a copy
@@ -92,7 +92,7 @@
 				at := RegionMark{i, j, Mark{n, lead}}
 				current := v.Record(j, at.Mark, region)
 				unchanged = unchanged || current == r
-				out.Marks, out.With = append(out.Marks, at), append(out.With, current)
+				out.Marks, out.Replacements = append(out.Marks, at), append(out.Replacements, current)
 			}
 		}
 		if !unchanged {
--- a/copies/recall_test.go
+++ b/copies/recall_test.go
@@ -34,11 +34,11 @@
 		if (err != nil) != (x.err != "") || err != nil && !strings.Contains(err.Error(), x.err) {
 			t.Errorf("%s: %v", x.name, err)
 		}
-		if err == nil && (!reflect.DeepEqual(got.Marks, x.marks) || len(got.Replaced) != x.old || len(got.With) != len(x.marks)) {
+		if err == nil && (!reflect.DeepEqual(got.Marks, x.marks) || len(got.Replaced) != x.old || len(got.Replacements) != len(x.marks)) {
 			t.Errorf("%s: %+v, want %+v", x.name, got, x.marks)
 		}
-		if err == nil && x.old == 0 && x.marks != nil && !reflect.DeepEqual(got.With, x.records) {
-			t.Errorf("%s: records become %+v", x.name, got.With)
+		if err == nil && x.old == 0 && x.marks != nil && !reflect.DeepEqual(got.Replacements, x.records) {
+			t.Errorf("%s: records become %+v", x.name, got.Replacements)
 		}
 	}
 	if got, _ := Recall([]Record{{6, 0, 100, c}}, two, 100); len(got.Unknown) != 1 || len(got.Replaced) != 0 {
--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -97,7 +97,7 @@
 	if len(found.Replaced) == 0 {
 		return nil
 	}
-	return m.store.Replace(found.Replaced, found.With)
+	return m.store.Replace(found.Replaced, found.Replacements)
 }
 
 // watch says in the log when copies become stale and when all are whole again.
