--- a/copies/recall.go
+++ b/copies/recall.go
@@ -52,9 +52,9 @@
 	Unknown                []Record // records of volumes that do not exist; they stay as they are
 }
 
-// Recall interprets the records of an earlier process. It returns an error if the lead of a record is no longer a copy
+// RestoreMarks interprets the records of an earlier process. It returns an error if the lead of a record is no longer a copy
 // or if a region would have two leads: going on would give up the only copy that certainly holds what was served.
-func Recall(records []Record, volumes []Volume, region int64) (out RestoredMarks, err error) {
+func RestoreMarks(records []Record, volumes []Volume, region int64) (out RestoredMarks, err error) {
 	type regionKey struct {
 		volume, extent int
 		region         int64
--- a/copies/recall_test.go
+++ b/copies/recall_test.go
@@ -30,7 +30,7 @@
 		{"the only copy now is another", []Record{{5, 0, 100, b}}, volume(Extent{0, 1000, []CopyID{a}}), 100, nil, 0, "put it back"},
 		{"another volume's", []Record{{6, 0, 100, c}}, two, 100, nil, 0, ""},
 	} {
-		got, err := Recall(x.records, x.volumes, x.region)
+		got, err := RestoreMarks(x.records, x.volumes, x.region)
 		if (err != nil) != (x.err != "") || err != nil && !strings.Contains(err.Error(), x.err) {
 			t.Errorf("%s: %v", x.name, err)
 		}
@@ -41,7 +41,7 @@
 			t.Errorf("%s: records become %+v", x.name, got.Replacements)
 		}
 	}
-	if got, _ := Recall([]Record{{6, 0, 100, c}}, two, 100); len(got.Unknown) != 1 || len(got.Replaced) != 0 {
+	if got, _ := RestoreMarks([]Record{{6, 0, 100, c}}, two, 100); len(got.Unknown) != 1 || len(got.Replaced) != 0 {
 		t.Errorf("another volume's record: %+v", got)
 	}
 }
--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	found, err := copies.Recall(records, m.volumes, m.region)
+	found, err := copies.RestoreMarks(records, m.volumes, m.region)
 	if err != nil {
 		return err
 	}
