--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -160,7 +160,7 @@
 			o.Rest(now + c.cfg.Logic.Rules.OrderPause)
 		}
 		if s := c.vols[i].space; s != nil {
-			s.Rest(now + c.cfg.Logic.Rules.OrderPause)
+			s.PauseUntil(now + c.cfg.Logic.Rules.OrderPause)
 		}
 	}
 }
--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// Rest suspends allocation until the given time: writes that an earlier process had in flight when it was killed may
+// PauseUntil suspends allocation until the given time: writes that an earlier process had in flight when it was killed may
 // still reach any bytes that are free now.
-func (s *Space) Rest(until logic.Micros) { s.pausedUntil = until }
+func (s *Space) PauseUntil(until logic.Micros) { s.pausedUntil = until }
 
 // Wait returns the remaining time for which allocation is suspended.
 func (s *Space) Wait(now logic.Micros) logic.Micros { return max(s.pausedUntil-now, 0) }
