--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -44,7 +44,7 @@
 	p := c.newPiece(op, v, nil, 0, 0, op.Len, by)
 	p.ordered = false
 	p.object = &object{Object: placing.Object{Only: -1}, places: map[int]int64{}}
-	if wait := v.space.Wait(now); wait > 0 {
+	if wait := v.space.PauseLeft(now); wait > 0 {
 		c.answer(now, p, ranges.Refused, wait)
 		return
 	}
--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -164,8 +164,8 @@
 // still reach any bytes that are free now.
 func (s *Space) PauseUntil(until logic.Micros) { s.pausedUntil = until }
 
-// Wait returns the remaining time for which allocation is suspended.
-func (s *Space) Wait(now logic.Micros) logic.Micros { return max(s.pausedUntil-now, 0) }
+// PauseLeft returns the remaining time for which allocation is suspended.
+func (s *Space) PauseLeft(now logic.Micros) logic.Micros { return max(s.pausedUntil-now, 0) }
 
 // Alloc allocates a run for an object of n bytes at a cell; ok is false if no free run there is large enough or
 // allocation is suspended.
