--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -124,7 +124,7 @@
 	if v.space == nil {
 		return fmt.Errorf("engine: volume %q is a disk", v.Name)
 	}
-	return v.space.Take(at, n)
+	return v.space.MarkAllocated(at, n)
 }
 
 // FreeSpace gives an object's bytes back. Nobody may read them any more.
--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -122,9 +122,9 @@
 // roundUp rounds n up to a multiple of Unit, at least one.
 func roundUp(n int64) int64 { return max((n+Unit-1)/Unit*Unit, Unit) }
 
-// Take marks the bytes of a catalogued object as allocated. All calls must precede the first Alloc. It returns an error
+// MarkAllocated marks the bytes of a catalogued object as allocated. All calls must precede the first Alloc. It returns an error
 // if the bytes lie in no slab or are allocated already.
-func (s *Space) Take(from, n int64) error {
+func (s *Space) MarkAllocated(from, n int64) error {
 	n = roundUp(n)
 	x := s.slabAt(from)
 	if x == nil || from%Unit != 0 || from+n > x.From+x.Len {
--- a/slabs/slabs_test.go
+++ b/slabs/slabs_test.go
@@ -67,12 +67,12 @@
 			case k == 8: // a restart: only the catalogued objects are allocated
 				s = New(slabs)
 				for _, o := range allocated {
-					if err := s.Take(o.from, o.n); err != nil {
+					if err := s.MarkAllocated(o.from, o.n); err != nil {
 						t.Fatal(err)
 					}
 				}
 				for _, o := range allocated {
-					if s.Take(o.from, o.n) == nil {
+					if s.MarkAllocated(o.from, o.n) == nil {
 						t.Fatal("taken twice without an error")
 					}
 				}
@@ -95,7 +95,7 @@
 func TestTakeOutside(t *testing.T) {
 	s := New([]Slab{{0, 0, 4 * Unit}, {1, 4 * Unit, 4 * Unit}})
 	for _, x := range [][2]int64{{-Unit, 1}, {8 * Unit, 1}, {100, 1}, {3 * Unit, 2 * Unit}} {
-		if s.Take(x[0], x[1]) == nil {
+		if s.MarkAllocated(x[0], x[1]) == nil {
 			t.Errorf("%d bytes at offset %d were accepted", x[1], x[0])
 		}
 	}
