--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -93,7 +93,7 @@
 			p.op.Offset = a.object
 		}
 	case logic.TimedOut, logic.Reset, logic.Cancelled:
-		p.vol.space.Busy(a.object, p.rest)
+		p.vol.space.WriteInFlight(a.object, p.rest)
 	}
 }
 
--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -189,8 +189,8 @@
 	return from, ok
 }
 
-// Busy reports that an attempt to write the allocated run may be in flight until the given time.
-func (s *Space) Busy(from int64, until logic.Micros) {
+// WriteInFlight reports that an attempt to write the allocated run may be in flight until the given time.
+func (s *Space) WriteInFlight(from int64, until logic.Micros) {
 	if h, ok := s.allocated[from]; ok {
 		h.writableUntil = max(h.writableUntil, until)
 		s.allocated[from] = h
--- a/slabs/slabs_test.go
+++ b/slabs/slabs_test.go
@@ -54,7 +54,7 @@
 				o := allocated[i]
 				if rapid.Bool().Draw(t, "busy") {
 					o.until = now + 500
-					s.Busy(o.from, o.until)
+					s.WriteInFlight(o.from, o.until)
 				}
 				if err := s.Free(now, o.from); err != nil {
 					t.Fatal(err)
