--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		cells = append(cells, placing.Cell{ID: n.Cell, Zone: c.zone(n), Ready: c.reach(n.Cell), NoRoom: !v.space.Fits(now, n.Cell, op.Len),
-			Used: -v.space.Room(now, n.Cell)})
+			Used: -v.space.FreeBytes(now, n.Cell)})
 	}
 	var err error
 	if p.object.Object, err = placing.NewObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -231,8 +231,8 @@
 	return ok && largest.length >= roundUp(n)
 }
 
-// Room returns the free bytes of a cell without the quarantined ones.
-func (s *Space) Room(now logic.Micros, cell int) int64 { s.advance(now); return s.free[cell] }
+// FreeBytes returns the free bytes of a cell without the quarantined ones.
+func (s *Space) FreeBytes(now logic.Micros, cell int) int64 { s.advance(now); return s.free[cell] }
 
 // Totals returns the free and the allocated bytes of all cells; quarantined bytes count as neither.
 func (s *Space) Totals(now logic.Micros) (free, used int64) {
--- a/slabs/slabs_test.go
+++ b/slabs/slabs_test.go
@@ -86,7 +86,7 @@
 		}
 		now += 10_000
 		free, used := s.Totals(now)
-		if free != 44*Unit || used != 0 || s.freeByOffset.Len() != 3 || s.Room(now, 1) != 16*Unit {
+		if free != 44*Unit || used != 0 || s.freeByOffset.Len() != 3 || s.FreeBytes(now, 1) != 16*Unit {
 			t.Fatalf("%d bytes free, %d allocated, %d free runs", free, used, s.freeByOffset.Len())
 		}
 	})
