--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -157,7 +157,7 @@
 func (c *Core) Rest(now logic.Micros) {
 	for i := range c.vols {
 		for _, o := range c.vols[i].orders {
-			o.Rest(now + c.cfg.Logic.Rules.OrderPause)
+			o.PauseUntil(now + c.cfg.Logic.Rules.OrderPause)
 		}
 		if s := c.vols[i].space; s != nil {
 			s.PauseUntil(now + c.cfg.Logic.Rules.OrderPause)
--- a/ranges/ranges.go
+++ b/ranges/ranges.go
@@ -108,10 +108,10 @@
 	return 0, false
 }
 
-// Rest holds all changes until the given time. It protects against attempts of an earlier process that was killed: it
+// PauseUntil holds all changes until the given time. It protects against attempts of an earlier process that was killed: it
 // is unknown which bytes they change, and nodes may still execute them for a while. Drawback: the first changes after
 // such a start are delayed by that time.
-func (o *Order) Rest(until logic.Micros) { o.pausedUntil = until }
+func (o *Order) PauseUntil(until logic.Micros) { o.pausedUntil = until }
 
 // findKey returns the key for e: the one that all earlier entries that overlap it share, or a new one if there are
 // none. If they have several keys or one has none, ok is false.
--- a/ranges/ranges_test.go
+++ b/ranges/ranges_test.go
@@ -98,7 +98,7 @@
 		t.Fatal("Ready gives a key after Done")
 	}
 	// While all changes are paused after a start, a reserved one is held too.
-	o.Rest(100)
+	o.PauseUntil(100)
 	o.Reserve(8, 50, 60)
 	if _, ok := o.Ready(8, 1000); ok {
 		t.Fatal("Ready gives a key while all changes are paused")
@@ -215,7 +215,7 @@
 // After a start that follows a kill all changes are held once, and then released as if they had just arrived.
 func TestRest(t *testing.T) {
 	o := New(newKeySource())
-	o.Rest(500)
+	o.PauseUntil(500)
 	for id := logic.RequestID(1); id <= 3; id++ {
 		if _, ok := o.Take(id, int64(id)*10, int64(id)*10+11, 1000); ok {
 			t.Errorf("request %d is not held", id)
