--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -424,7 +424,7 @@
 	for i := range c.vols {
 		for _, o := range c.vols[i].orders {
 			o.Expired(now, func(id logic.RequestID) { c.refuse(now, id, ranges.Refused, 0) })
-			o.Free(now, func(id logic.RequestID, key uint64) { c.arrive(c.pieces[id], key) })
+			o.Release(now, func(id logic.RequestID, key uint64) { c.arrive(c.pieces[id], key) })
 		}
 	}
 	for _, x := range c.host.Run(now) {
--- a/ranges/ranges.go
+++ b/ranges/ranges.go
@@ -60,7 +60,7 @@
 }
 
 // Take adds a change of the bytes [from, to) with a deadline and returns its key. If it overlaps changes of more than
-// one key, or a change without a key, ok is false and the change is held until [Order.Free] releases it or
+// one key, or a change without a key, ok is false and the change is held until [Order.Release] releases it or
 // [Order.Expired] refuses it at its deadline.
 func (o *Order) Take(id logic.RequestID, from, to int64, deadline logic.Micros) (key uint64, ok bool) {
 	o.seq++
@@ -164,8 +164,8 @@
 	}
 }
 
-// Free calls take for each held request that can get a key now, in the order taken.
-func (o *Order) Free(now logic.Micros, take func(id logic.RequestID, key uint64)) {
+// Release calls take for each held request that can get a key now, in the order taken.
+func (o *Order) Release(now logic.Micros, take func(id logic.RequestID, key uint64)) {
 	if o.pausedUntil > now {
 		return
 	} else if o.pausedUntil > 0 {
--- a/ranges/ranges_test.go
+++ b/ranges/ranges_test.go
@@ -31,7 +31,7 @@
 	var free []logic.RequestID
 	freeAt := func(now logic.Micros) []logic.RequestID {
 		free = nil
-		o.Free(now, func(id logic.RequestID, _ uint64) { free = append(free, id) })
+		o.Release(now, func(id logic.RequestID, _ uint64) { free = append(free, id) })
 		return free
 	}
 	if got := freeAt(1); len(got) != 0 {
@@ -74,7 +74,7 @@
 	var got []logic.RequestID
 	free := func() []logic.RequestID {
 		got = nil
-		o.Free(10, func(id logic.RequestID, _ uint64) { got = append(got, id) })
+		o.Release(10, func(id logic.RequestID, _ uint64) { got = append(got, id) })
 		return got
 	}
 	o.Done(4, 0)
@@ -103,7 +103,7 @@
 	if _, ok := o.Ready(8, 1000); ok {
 		t.Fatal("Ready gives a key while all changes are paused")
 	}
-	o.Free(100, func(id logic.RequestID, _ uint64) { got = append(got, id) })
+	o.Release(100, func(id logic.RequestID, _ uint64) { got = append(got, id) })
 	if got[len(got)-1] != 8 {
 		t.Fatalf("freed %v", got)
 	}
@@ -125,7 +125,7 @@
 		t.Errorf("refused %v, want 3", refused)
 	}
 	freed := 0
-	o.Free(100, func(id logic.RequestID, key uint64) {
+	o.Release(100, func(id logic.RequestID, key uint64) {
 		if freed++; id != 4 || key != 2 {
 			t.Errorf("freed %d under key %d, want 4 under 2", id, key)
 		}
@@ -164,7 +164,7 @@
 			}
 		}
 		free := func() {
-			o.Free(now, func(id logic.RequestID, key uint64) { live[id].key = key; checkKey(id) })
+			o.Release(now, func(id logic.RequestID, key uint64) { live[id].key = key; checkKey(id) })
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += logic.Micros(rapid.IntRange(0, 20).Draw(t, "pass"))
@@ -226,7 +226,7 @@
 	}
 	free := func(now logic.Micros) (got map[logic.RequestID]uint64) {
 		got = map[logic.RequestID]uint64{}
-		o.Free(now, func(id logic.RequestID, key uint64) { got[id] = key })
+		o.Release(now, func(id logic.RequestID, key uint64) { got[id] = key })
 		return got
 	}
 	if got := free(499); len(got) != 0 {
