--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -423,7 +423,7 @@
 	}
 	for i := range c.vols {
 		for _, o := range c.vols[i].orders {
-			o.Expired(now, func(id logic.RequestID) { c.refuse(now, id, ranges.Refused, 0) })
+			o.RefuseExpired(now, func(id logic.RequestID) { c.refuse(now, id, ranges.Refused, 0) })
 			o.Release(now, func(id logic.RequestID, key uint64) { c.arrive(c.pieces[id], key) })
 		}
 	}
--- a/ranges/ranges.go
+++ b/ranges/ranges.go
@@ -61,7 +61,7 @@
 
 // Take adds a change of the bytes [from, to) with a deadline and returns its key. If it overlaps changes of more than
 // one key, or a change without a key, ok is false and the change is held until [Order.Release] releases it or
-// [Order.Expired] refuses it at its deadline.
+// [Order.RefuseExpired] refuses it at its deadline.
 func (o *Order) Take(id logic.RequestID, from, to int64, deadline logic.Micros) (key uint64, ok bool) {
 	o.seq++
 	e := &entry{id: id, seq: o.seq, from: from, to: to, deadline: deadline}
@@ -201,9 +201,9 @@
 	o.held = stillHeld
 }
 
-// Expired removes each held request whose deadline has passed and calls refuse for it. None of them was ever sent, so a
+// RefuseExpired removes each held request whose deadline has passed and calls refuse for it. None of them was ever sent, so a
 // refusal's promise of no effect holds.
-func (o *Order) Expired(now logic.Micros, refuse func(id logic.RequestID)) {
+func (o *Order) RefuseExpired(now logic.Micros, refuse func(id logic.RequestID)) {
 	var expired []*entry
 	for _, e := range o.held {
 		if e.deadline <= now {
--- a/ranges/ranges_test.go
+++ b/ranges/ranges_test.go
@@ -116,11 +116,11 @@
 	o.Take(3, 5, 15, 100)
 	o.Take(4, 14, 16, 2000)
 	var refused []logic.RequestID
-	o.Expired(99, func(id logic.RequestID) { refused = append(refused, id) })
+	o.RefuseExpired(99, func(id logic.RequestID) { refused = append(refused, id) })
 	if len(refused) != 0 {
 		t.Errorf("refused %v too early", refused)
 	}
-	o.Expired(100, func(id logic.RequestID) { refused = append(refused, id) })
+	o.RefuseExpired(100, func(id logic.RequestID) { refused = append(refused, id) })
 	if len(refused) != 1 || refused[0] != 3 {
 		t.Errorf("refused %v, want 3", refused)
 	}
