--- a/locks/locks.go
+++ b/locks/locks.go
@@ -32,7 +32,7 @@
 
 // Limits of the table: the number of locks and their timeout.
 const (
-	Most        = 100_000
+	MaxLocks    = 100_000
 	MostSeconds = 7 * 24 * 3600
 	// defaultSeconds is the timeout of a lock whose client requests none.
 	defaultSeconds = 600
@@ -146,8 +146,8 @@
 // its root. Two locks conflict unless both are shared. It returns the lock with its expiry time, a Conflict, or
 // ErrFull.
 func (t *Table) Grant(now int64, l Lock) (*Lock, error) {
-	if len(t.byToken) >= Most {
-		if t.Expire(now, Most); len(t.byToken) >= Most {
+	if len(t.byToken) >= MaxLocks {
+		if t.Expire(now, MaxLocks); len(t.byToken) >= MaxLocks {
 			return nil, ErrFull
 		}
 	}
