--- a/internal/front/dav/methods.go
+++ b/internal/front/dav/methods.go
@@ -577,10 +577,10 @@
 	for _, t := range strings.Split(h, ",") {
 		switch t = strings.TrimSpace(t); {
 		case strings.EqualFold(t, "Infinite"):
-			return locks.MostSeconds
+			return locks.MaxTimeoutSeconds
 		case strings.HasPrefix(t, "Second-"):
 			if n, err := strconv.ParseInt(t[7:], 10, 64); err == nil && n > 0 {
-				return min(n, locks.MostSeconds)
+				return min(n, locks.MaxTimeoutSeconds)
 			}
 		}
 	}
--- a/locks/locks.go
+++ b/locks/locks.go
@@ -32,8 +32,8 @@
 
 // Limits of the table: the number of locks and their timeout.
 const (
-	MaxLocks    = 100_000
-	MostSeconds = 7 * 24 * 3600
+	MaxLocks          = 100_000
+	MaxTimeoutSeconds = 7 * 24 * 3600
 	// defaultSeconds is the timeout of a lock whose client requests none.
 	defaultSeconds = 600
 )
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.Length = min(cmp.Or(max(l.Length, 0), defaultSeconds), MostSeconds)
+	l.Length = min(cmp.Or(max(l.Length, 0), defaultSeconds), MaxTimeoutSeconds)
 	l.Expires = now + l.Length
 	if t.byToken[l.Token] != nil {
 		return nil, fmt.Errorf("locks: token %q already exists", l.Token)
@@ -177,7 +177,7 @@
 		return nil, ErrUnknown
 	}
 	if length > 0 {
-		l.Length = min(length, MostSeconds)
+		l.Length = min(length, MaxTimeoutSeconds)
 	}
 	l.Expires = now + l.Length
 	return l, nil
