--- a/internal/front/dav/xml.go
+++ b/internal/front/dav/xml.go
@@ -167,7 +167,7 @@
 	case "lockdiscovery":
 		var b strings.Builder
 		q.t.cat.Locks(func(now int64, t *locks.Table) {
-			t.On(now, clean(href), false, func(l *locks.Lock) bool {
+			t.ForEachCovering(now, clean(href), false, func(l *locks.Lock) bool {
 				b.WriteString(q.activeLock(now, l))
 				return true
 			})
--- a/locks/locks.go
+++ b/locks/locks.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// On calls f for each lock that covers a name, the one with the nearest root first, and with below set also for those
+// ForEachCovering calls f for each lock that covers a name, the one with the nearest root first, and with below set also for those
 // on names below it, until f returns false.
-func (t *Table) On(now int64, name string, below bool, f func(l *Lock) bool) {
+func (t *Table) ForEachCovering(now int64, name string, below bool, f func(l *Lock) bool) {
 	more := true
 	forEachAncestor(name, func(n string, self bool) bool {
 		at, _ := t.byRoot.Get(n)
@@ -152,7 +152,7 @@
 		}
 	}
 	var err error
-	t.On(now, l.Root, l.Deep, func(o *Lock) bool {
+	t.ForEachCovering(now, l.Root, l.Deep, func(o *Lock) bool {
 		if !l.Shared || !o.Shared {
 			err = &Conflict{o.Root}
 		}
@@ -204,7 +204,7 @@
 	type rootState struct{ hasToken bool }
 	stateByRoot := map[string]*rootState{}
 	var order []string
-	t.On(now, name, below, func(l *Lock) bool {
+	t.ForEachCovering(now, name, below, func(l *Lock) bool {
 		state := stateByRoot[l.Root]
 		if state == nil {
 			state = &rootState{}
