--- a/internal/front/dav/methods.go
+++ b/internal/front/dav/methods.go
@@ -230,8 +230,8 @@
 func (q *request) may(name string, below, member bool) (err error) {
 	name = clean(name)
 	q.t.cat.Locks(func(now int64, t *locks.Table) {
-		if err = t.May(now, name, below, q.user, q.tokens); err == nil && member && name != "/" {
-			err = t.May(now, path.Dir(name), false, q.user, q.tokens)
+		if err = t.CheckAccess(now, name, below, q.user, q.tokens); err == nil && member && name != "/" {
+			err = t.CheckAccess(now, path.Dir(name), false, q.user, q.tokens)
 		}
 	})
 	return err
--- a/locks/locks.go
+++ b/locks/locks.go
@@ -197,10 +197,10 @@
 	return nil
 }
 
-// May returns nil if a user who submits tokens may change a name, and with below set all names below it; else it
+// CheckAccess returns nil if a user who submits tokens may change a name, and with below set all names below it; else it
 // returns a Conflict. Of several shared locks with the same root one token is sufficient. A token is valid for its own
 // user only.
-func (t *Table) May(now int64, name string, below bool, user string, tokens []string) error {
+func (t *Table) CheckAccess(now int64, name string, below bool, user string, tokens []string) error {
 	type rootState struct{ hasToken bool }
 	stateByRoot := map[string]*rootState{}
 	var order []string
--- a/locks/locks_test.go
+++ b/locks/locks_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("Expire removed %v", got)
 	}
 	locked := func(name string, below bool, user string, tokens ...string) bool {
-		return tb.May(10, name, below, user, tokens) != nil
+		return tb.CheckAccess(10, name, below, user, tokens) != nil
 	}
 	if !locked("/d/e", false, "ann") || locked("/d/e", false, "ann", "x", "d") || !locked("/d/e", false, "bob", "d") || locked("/", false, "bob") ||
 		!locked("/", true, "bob") || locked("/e", true, "bob") {
@@ -107,7 +107,7 @@
 						free = false
 					}
 				}
-				if err := tb.May(now, name, below, "", nil); (err == nil) != free {
+				if err := tb.CheckAccess(now, name, below, "", nil); (err == nil) != free {
 					t.Fatalf("%s at %d: %v, want %v (%+v)", name, now, err, free, list)
 				}
 			case 4:
