--- a/locks/locks.go
+++ b/locks/locks.go
@@ -45,11 +45,11 @@
 	ErrFull    = errors.New("locks: too many locks")
 )
 
-// Conflict names the root of a conflicting lock. It matches ErrLocked.
-type Conflict struct{ Root string }
+// ConflictError names the root of a conflicting lock. It matches ErrLocked.
+type ConflictError struct{ Root string }
 
-func (c *Conflict) Error() string   { return fmt.Sprintf("locks: %s is locked", c.Root) }
-func (c *Conflict) Is(e error) bool { return e == ErrLocked }
+func (c *ConflictError) Error() string   { return fmt.Sprintf("locks: %s is locked", c.Root) }
+func (c *ConflictError) Is(e error) bool { return e == ErrLocked }
 
 // Table holds all locks of a tree.
 type Table struct {
@@ -154,7 +154,7 @@
 	var err error
 	t.ForEachCovering(now, l.Root, l.Deep, func(o *Lock) bool {
 		if !l.Shared || !o.Shared {
-			err = &Conflict{o.Root}
+			err = &ConflictError{o.Root}
 		}
 		return err == nil
 	})
@@ -216,7 +216,7 @@
 	})
 	for _, root := range order {
 		if !stateByRoot[root].hasToken {
-			return &Conflict{root}
+			return &ConflictError{root}
 		}
 	}
 	return nil
