--- a/internal/report/place.go
+++ b/internal/report/place.go
@@ -48,7 +48,7 @@
 		}
 		c := &cells[i]
 		c.Ready = n.Node.State == logic.Ready
-		c.Failing = n.Failing
+		c.FailureShare = n.Failing
 		c.Cold = n.Node.Started >= 0 && n.Node.Started < cfg.Logic.Rules.ColdTime // an age
 	}
 	return cells, nil
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -19,14 +19,14 @@
 
 // Cell is the state of a cell that placement uses.
 type Cell struct {
-	ID       int
-	Zone     int     // below zero: unknown, not shared with any other cell
-	Ready    bool    // a node that accepts work serves it
-	Cold     bool    // that node started only recently
-	Failing  float64 // share of failed attempts
-	Capacity int64   // bytes; 0: unknown, treated as unlimited
-	Used     int64   // bytes of the extents placed there
-	NoRoom   bool    // the data to be placed does not fit, whatever Capacity and Used are
+	ID           int
+	Zone         int     // below zero: unknown, not shared with any other cell
+	Ready        bool    // a node that accepts work serves it
+	Cold         bool    // that node started only recently
+	FailureShare float64 // share of failed attempts
+	Capacity     int64   // bytes; 0: unknown, treated as unlimited
+	Used         int64   // bytes of the extents placed there
+	NoRoom       bool    // the data to be placed does not fit, whatever Capacity and Used are
 }
 
 // full reports whether size more bytes do not fit.
@@ -37,7 +37,7 @@
 	switch {
 	case c.full(size):
 		return 2
-	case !c.Ready || c.Cold || c.Failing >= failingShare:
+	case !c.Ready || c.Cold || c.FailureShare >= failingShare:
 		return 1
 	}
 	return 0
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -14,7 +14,7 @@
 	modified := func(c Cell, f func(c *Cell)) Cell { f(&c); return c }
 	cold := func(c *Cell) { c.Cold = true }
 	full := func(c *Cell) { c.Used = c.Capacity - gib/2 }
-	fails := func(c *Cell) { c.Failing = 0.3 }
+	fails := func(c *Cell) { c.FailureShare = 0.3 }
 	for _, x := range []struct {
 		name   string
 		cells  []Cell
