--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -34,7 +34,7 @@
 // cell is the one that a piece goes to, below zero where it may go to any.
 func (p *piece) cell() int {
 	if p.object != nil {
-		return p.object.Only
+		return p.object.OnlyCell
 	}
 	return p.place.Cell
 }
@@ -43,7 +43,7 @@
 func (c *Core) newObject(now logic.Micros, op *Op, v *volume, by logic.Micros) {
 	p := c.newPiece(op, v, nil, 0, 0, op.Len, by)
 	p.ordered = false
-	p.object = &object{Object: placing.Object{Only: -1}, places: map[int]int64{}}
+	p.object = &object{Object: placing.Object{OnlyCell: -1}, places: map[int]int64{}}
 	if wait := v.space.PauseLeft(now); wait > 0 {
 		c.answer(now, p, ranges.Refused, wait)
 		return
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -86,15 +86,15 @@
 
 // Object restricts the cells that a new object may go to.
 type Object struct {
-	Home bool // only cells of the requesting gateway's zone
-	Only int  // only this cell; below zero: no such restriction
+	Home     bool // only cells of the requesting gateway's zone
+	OnlyCell int  // only this cell; below zero: no such restriction
 }
 
 // NewObject returns the cells among which package logic, which knows neither zones nor free space, may place a new
 // object of size bytes: those of the requesting gateway's zone as long as a ready cell there has room. Exception: if
 // some of the cells that logic could choose from have no room, NewObject chooses the cell itself.
 func NewObject(cells []Cell, home int, size int64) (o Object, err error) {
-	o.Only = -1
+	o.OnlyCell = -1
 	var usable, anyFull [2]bool // at home, anywhere
 	for i := range cells {
 		c := &cells[i]
@@ -111,7 +111,7 @@
 		if err != nil {
 			return o, err
 		}
-		o.Only = ids[0]
+		o.OnlyCell = ids[0]
 	case !usable[1]:
 		return o, &NoRoomError{size, 1, 0}
 	}
