--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -53,7 +53,7 @@
 
 // mayCross asks the budget for a piece whose data lies in no node of this gateway's zone; wait is when to come back.
 func (c *Core) mayCross(now logic.Micros, p *piece) (wait logic.Micros, ok bool) {
-	if p.object != nil && p.object.Home {
+	if p.object != nil && p.object.HomeOnly {
 		return 0, true
 	}
 	p.asked, wait, ok = c.ask(now, p.op.Class, p.cell(), dataBytes(p.op.Kind, p.len))
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -86,7 +86,7 @@
 
 // Object restricts the cells that a new object may go to.
 type Object struct {
-	Home     bool // only cells of the requesting gateway's zone
+	HomeOnly bool // only cells of the requesting gateway's zone
 	OnlyCell int  // only this cell; below zero: no such restriction
 }
 
@@ -105,7 +105,7 @@
 	}
 	switch {
 	case usable[0] && !anyFull[0]:
-		o.Home = true
+		o.HomeOnly = true
 	case usable[0] || anyFull[1]:
 		ids, err := Place(cells, home, size, 1)
 		if err != nil {
