--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -17,7 +17,7 @@
 
 // object is a new object on its way.
 type object struct {
-	placing.Object
+	placing.ObjectPlacement
 	places map[int]int64 // by cell: where it was sent to
 	served bool
 	at     int64 // where it lies, once it is served
@@ -43,7 +43,7 @@
 func (c *Core) newObject(now logic.Micros, op *Op, v *volume, by logic.Micros) {
 	p := c.newPiece(op, v, nil, 0, 0, op.Len, by)
 	p.ordered = false
-	p.object = &object{Object: placing.Object{OnlyCell: -1}, places: map[int]int64{}}
+	p.object = &object{ObjectPlacement: placing.ObjectPlacement{OnlyCell: -1}, places: map[int]int64{}}
 	if wait := v.space.PauseLeft(now); wait > 0 {
 		c.answer(now, p, ranges.Refused, wait)
 		return
@@ -58,7 +58,7 @@
 			Used: -v.space.FreeBytes(now, n.Cell)})
 	}
 	var err error
-	if p.object.Object, err = placing.NewObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
+	if p.object.ObjectPlacement, err = placing.NewObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
 		op.NoRoom = true
 		c.answer(now, p, ranges.Refused, 0)
 		return
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -84,8 +84,8 @@
 	return ids, nil
 }
 
-// Object restricts the cells that a new object may go to.
-type Object struct {
+// ObjectPlacement restricts the cells that a new object may go to.
+type ObjectPlacement struct {
 	HomeOnly bool // only cells of the requesting gateway's zone
 	OnlyCell int  // only this cell; below zero: no such restriction
 }
@@ -93,7 +93,7 @@
 // NewObject returns the cells among which package logic, which knows neither zones nor free space, may place a new
 // object of size bytes: those of the requesting gateway's zone as long as a ready cell there has room. Exception: if
 // some of the cells that logic could choose from have no room, NewObject chooses the cell itself.
-func NewObject(cells []Cell, home int, size int64) (o Object, err error) {
+func NewObject(cells []Cell, home int, size int64) (o ObjectPlacement, err error) {
 	o.OnlyCell = -1
 	var usable, anyFull [2]bool // at home, anywhere
 	for i := range cells {
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -51,18 +51,18 @@
 		name      string
 		cells     []Cell
 		home      int
-		want      Object
+		want      ObjectPlacement
 		wantError bool
 	}{
-		{"no zones", []Cell{cell(0, -1, true, true), cell(1, -1, true, true)}, -1, Object{false, -1}, false},
-		{"no zones, one full", []Cell{cell(0, -1, true, false), cell(1, -1, true, true)}, -1, Object{false, 1}, false},
-		{"home", []Cell{cell(0, 0, true, true), cell(1, 1, true, true)}, 0, Object{true, -1}, false},
-		{"home, one cell full", []Cell{cell(0, 0, true, false), cell(1, 0, true, true), cell(2, 1, true, true)}, 0, Object{false, 1}, false},
-		{"home full", []Cell{cell(0, 0, true, false), cell(1, 1, true, true)}, 0, Object{false, 1}, false},
-		{"home not ready", []Cell{cell(0, 0, false, true), cell(1, 1, true, true)}, 0, Object{false, -1}, false},
-		{"other zone full", []Cell{cell(0, 0, true, true), cell(1, 1, true, false)}, 0, Object{true, -1}, false},
-		{"all full", []Cell{cell(0, 0, true, false), cell(1, 1, true, false)}, 0, Object{false, -1}, true},
-		{"no cells", nil, 0, Object{false, -1}, true},
+		{"no zones", []Cell{cell(0, -1, true, true), cell(1, -1, true, true)}, -1, ObjectPlacement{false, -1}, false},
+		{"no zones, one full", []Cell{cell(0, -1, true, false), cell(1, -1, true, true)}, -1, ObjectPlacement{false, 1}, false},
+		{"home", []Cell{cell(0, 0, true, true), cell(1, 1, true, true)}, 0, ObjectPlacement{true, -1}, false},
+		{"home, one cell full", []Cell{cell(0, 0, true, false), cell(1, 0, true, true), cell(2, 1, true, true)}, 0, ObjectPlacement{false, 1}, false},
+		{"home full", []Cell{cell(0, 0, true, false), cell(1, 1, true, true)}, 0, ObjectPlacement{false, 1}, false},
+		{"home not ready", []Cell{cell(0, 0, false, true), cell(1, 1, true, true)}, 0, ObjectPlacement{false, -1}, false},
+		{"other zone full", []Cell{cell(0, 0, true, true), cell(1, 1, true, false)}, 0, ObjectPlacement{true, -1}, false},
+		{"all full", []Cell{cell(0, 0, true, false), cell(1, 1, true, false)}, 0, ObjectPlacement{false, -1}, true},
+		{"no cells", nil, 0, ObjectPlacement{false, -1}, true},
 	} {
 		got, err := NewObject(x.cells, x.home, 1)
 		if got != x.want || (err != nil) != x.wantError {
