--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -58,7 +58,7 @@
 			Used: -v.space.FreeBytes(now, n.Cell)})
 	}
 	var err error
-	if p.object.ObjectPlacement, err = placing.NewObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
+	if p.object.ObjectPlacement, err = placing.PlaceObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
 		op.NoRoom = true
 		c.answer(now, p, ranges.Refused, 0)
 		return
--- a/placing/placing.go
+++ b/placing/placing.go
@@ -90,10 +90,10 @@
 	OnlyCell int  // only this cell; below zero: no such restriction
 }
 
-// NewObject returns the cells among which package logic, which knows neither zones nor free space, may place a new
+// PlaceObject returns the cells among which package logic, which knows neither zones nor free space, may place a new
 // object of size bytes: those of the requesting gateway's zone as long as a ready cell there has room. Exception: if
-// some of the cells that logic could choose from have no room, NewObject chooses the cell itself.
-func NewObject(cells []Cell, home int, size int64) (o ObjectPlacement, err error) {
+// some of the cells that logic could choose from have no room, PlaceObject chooses the cell itself.
+func PlaceObject(cells []Cell, home int, size int64) (o ObjectPlacement, err error) {
 	o.OnlyCell = -1
 	var usable, anyFull [2]bool // at home, anywhere
 	for i := range cells {
--- a/placing/placing_test.go
+++ b/placing/placing_test.go
@@ -64,7 +64,7 @@
 		{"all full", []Cell{cell(0, 0, true, false), cell(1, 1, true, false)}, 0, ObjectPlacement{false, -1}, true},
 		{"no cells", nil, 0, ObjectPlacement{false, -1}, true},
 	} {
-		got, err := NewObject(x.cells, x.home, 1)
+		got, err := PlaceObject(x.cells, x.home, 1)
 		if got != x.want || (err != nil) != x.wantError {
 			t.Errorf("%s: %+v, %v; want %+v", x.name, got, err, x.want)
 		}
