--- a/copies/copies.go
+++ b/copies/copies.go
@@ -108,7 +108,7 @@
 type OutputKind uint8
 
 const (
-	WriteMark  OutputKind = iota // write Mark to stable storage, then call Kept; marks of one region in the order given
+	WriteMark  OutputKind = iota // write Mark to stable storage, then call MarkWritten; marks of one region in the order given
 	DeleteMark                   // delete the mark of Mark.Region at any later time; nothing waits for it
 	Send                         // send Change to the copies in Change.Sent
 	Answer                       // Change.Verdict is final; attempts may still be in flight
@@ -261,9 +261,9 @@
 
 // ---- changes ----
 
-// Targets returns the copies that a change of the bytes [from, to) is sent to if they can be reached. If the change lies
-// in one region, copies that are stale there are left out, unless they are being caught up: they get the change when
-// they are caught up.
+// Targets returns the copies that a change of the bytes [from, to) is sent to if they can be reached. If the change
+// lies in one region, copies that are stale there are left out, unless they are being caught up: they get the change
+// when they are caught up.
 func (s *Set) Targets(from, to int64) (need Mask) {
 	s.forEachRegion(from, to, func(_ int64, r *region) {
 		need |= allCopies(s.settings.Copies)
@@ -402,8 +402,8 @@
 	}
 }
 
-// ClientGone reports that the client of a change has left. A change that was not sent yet is dropped. Any other goes on, so
-// that the copies stay identical; the caller discards its answer.
+// ClientGone reports that the client of a change has left. A change that was not sent yet is dropped. Any other goes
+// on, so that the copies stay identical; the caller discards its answer.
 func (s *Set) ClientGone(now logic.Micros, c *Change) {
 	if !c.sent && !c.answered {
 		s.answer(c, Refused)
@@ -411,8 +411,8 @@
 	}
 }
 
-// HandleTimeouts handles timeouts: leads awaited for too long, deadlines of answers, failed marks to retry and marks that are no
-// longer needed.
+// HandleTimeouts handles timeouts: leads awaited for too long, deadlines of answers, failed marks to retry and marks
+// that are no longer needed.
 func (s *Set) HandleTimeouts(now logic.Micros) {
 	for _, c := range slices.Clone(s.active) {
 		switch {
@@ -466,7 +466,7 @@
 	}
 }
 
-// Next returns the latest time for the next call of Late; 0: no call is needed.
+// Next returns the latest time for the next call of HandleTimeouts; 0: no call is needed.
 func (s *Set) Next() (at logic.Micros) {
 	consider := func(t logic.Micros) {
 		if at == 0 || t < at {
@@ -694,8 +694,8 @@
 // refusal.
 type Admitter func(copy int) (wait logic.Micros, ok bool)
 
-// Choose chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home. If
-// the read is refused, At is the copy that it may not go to.
+// Choose chooses the copy in m that a read goes to. A read that may not cross zones goes to the fastest copy at home.
+// If the read is refused, Copy is the copy that it may not go to.
 func (r *Read) Choose(m Mask, seen []CopyState, ask Admitter) (wait logic.Micros, ok bool) {
 	copy, home := chooseCopy(m, seen, r.Aim)
 	wait, ok = ask(copy)
@@ -714,8 +714,8 @@
 }
 
 // Retry reports whether a read that was not served at a copy is retried as the same request, after the given number of
-// tries; if so, At is the copy. A read that was given up early in favour of a copy that it may not go to stays at its
-// copy and may be late.
+// tries; if so, Copy is the copy to use. A read that was given up early in favour of a copy that it may not go to stays
+// at its copy and may be late.
 func (r *Read) Retry(now logic.Micros, m Mask, seen []CopyState, tries int, ask Admitter) bool {
 	if m &^= r.tried; m == 0 || now >= r.Deadline || r.MaxAttempts > 0 && tries >= r.MaxAttempts {
 		return false
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -327,7 +327,7 @@
 		ask          Admitter // of both calls
 		now          logic.Micros
 		tries        int
-		ok           bool // result of First
+		ok           bool // result of Choose
 		again        bool
 		at           int
 		spills       bool
@@ -344,10 +344,10 @@
 		r := Read{Aim: 100, Deadline: 1000, MaxAttempts: 4}
 		wait, ok := r.Choose(3, x.first, x.ask)
 		if ok != x.ok || !ok && wait != 7 {
-			t.Errorf("%s: First gives %v, wait %v: %+v", x.name, ok, wait, r)
+			t.Errorf("%s: Choose gives %v, wait %v: %+v", x.name, ok, wait, r)
 		}
 		if got := r.Retry(x.now, 3, x.later, x.tries, x.ask); got != x.again || r.Copy != x.at || r.CrossesZones != x.spills {
-			t.Errorf("%s: Again gives %v, %+v", x.name, got, r)
+			t.Errorf("%s: Retry gives %v, %+v", x.name, got, r)
 		}
 		if x.again && r.Retry(x.now, 3, x.later, x.tries, x.ask) {
 			t.Errorf("%s: retried a second time: %+v", x.name, r)
--- a/copies/recall.go
+++ b/copies/recall.go
@@ -48,12 +48,12 @@
 // RestoredMarks is the result of interpreting the records of an earlier process.
 type RestoredMarks struct {
 	Marks                  []RegionMark
-	Replaced, Replacements []Record // With must replace Old, because the region boundaries have changed
+	Replaced, Replacements []Record // Replacements must replace Replaced: the region boundaries have changed
 	Unknown                []Record // records of volumes that do not exist; they stay as they are
 }
 
-// RestoreMarks interprets the records of an earlier process. It returns an error if the lead of a record is no longer a copy
-// or if a region would have two leads: going on would give up the only copy that certainly holds what was served.
+// RestoreMarks interprets the records of an earlier process. It returns an error if the lead of a record is no longer a
+// copy or if a region would have two leads: going on would give up the only copy that certainly holds what was served.
 func RestoreMarks(records []Record, volumes []Volume, region int64) (out RestoredMarks, err error) {
 	type regionKey struct {
 		volume, extent int
--- a/crossing/crossing.go
+++ b/crossing/crossing.go
@@ -241,9 +241,9 @@
 	b.zoneLost = lost
 }
 
-// CrossesZones reports whether bytes between a gateway in zone own and a node in zone node cross zones. A negative zone is
-// unknown. A node of unknown zone counts as being in another zone, so that the budget covers too much rather than too
-// little. For a gateway of unknown zone nothing crosses.
+// CrossesZones reports whether bytes between a gateway in zone own and a node in zone node cross zones. A negative zone
+// is unknown. A node of unknown zone counts as being in another zone, so that the budget covers too much rather than
+// too little. For a gateway of unknown zone nothing crosses.
 func CrossesZones(own, node int) bool { return own >= 0 && node != own }
 
 // Zone is a zone with its number of configured nodes and of nodes that accept work.
--- a/crossing/history.go
+++ b/crossing/history.go
@@ -40,7 +40,7 @@
 	numCounts  int             // over all slots
 }
 
-// Restore restores the slots of an earlier process and its totals. Later calls of Note add only what exceeds the
+// Restore restores the slots of an earlier process and its totals. Later calls of Record add only what exceeds the
 // totals.
 func (h *History) Restore(slots []Slot, totals []Count) {
 	h.Slots, h.numCounts = nil, 0
--- a/locks/locks.go
+++ b/locks/locks.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// ForEachCovering calls f for each lock that covers a name, the one with the nearest root first, and with below set also for those
-// on names below it, until f returns false.
+// ForEachCovering calls f for each lock that covers a name, the one with the nearest root first, and with below set
+// also for those on names below it, until f returns false.
 func (t *Table) ForEachCovering(now int64, name string, below bool, f func(l *Lock) bool) {
 	more := true
 	forEachAncestor(name, func(n string, self bool) bool {
@@ -143,7 +143,7 @@
 }
 
 // Grant adds a lock unless another lock that covers its root conflicts with it, or, if it is deep, one on a name below
-// its root. Two locks conflict unless both are shared. It returns the lock with its expiry time, a Conflict, or
+// its root. Two locks conflict unless both are shared. It returns the lock with its expiry time, a ConflictError, or
 // ErrFull.
 func (t *Table) Grant(now int64, l Lock) (*Lock, error) {
 	if len(t.byToken) >= MaxLocks {
@@ -197,9 +197,9 @@
 	return nil
 }
 
-// CheckAccess returns nil if a user who submits tokens may change a name, and with below set all names below it; else it
-// returns a Conflict. Of several shared locks with the same root one token is sufficient. A token is valid for its own
-// user only.
+// CheckAccess returns nil if a user who submits tokens may change a name, and with below set all names below it; else
+// it returns a ConflictError. Of several shared locks with the same root one token is sufficient. A token is valid for
+// its own user only.
 func (t *Table) CheckAccess(now int64, name string, below bool, user string, tokens []string) error {
 	type rootState struct{ hasToken bool }
 	stateByRoot := map[string]*rootState{}
@@ -228,8 +228,8 @@
 	return l != nil && l.Expires > now && l.covers(name)
 }
 
-// RemoveTree removes the locks on a name and all names below it, as needed when it is deleted or moved, and returns their
-// tokens.
+// RemoveTree removes the locks on a name and all names below it, as needed when it is deleted or moved, and returns
+// their tokens.
 func (t *Table) RemoveTree(name string) (tokens []string) {
 	var all []*Lock
 	prefix := strings.TrimSuffix(name, "/") + "/"
--- a/locks/locks_test.go
+++ b/locks/locks_test.go
@@ -55,7 +55,7 @@
 	}
 	if !locked("/d/e", false, "ann") || locked("/d/e", false, "ann", "x", "d") || !locked("/d/e", false, "bob", "d") || locked("/", false, "bob") ||
 		!locked("/", true, "bob") || locked("/e", true, "bob") {
-		t.Error("May allows or denies a change wrongly")
+		t.Error("CheckAccess allows or denies a change wrongly")
 	}
 	if _, err := tb.Refresh(20, "/d/e", "d", "bob", 0); err == nil {
 		t.Error("refreshed by another user")
@@ -71,7 +71,7 @@
 	}
 }
 
-// Compares the table with a plain list of locks: Grant, May and Unlock must give the same results.
+// Compares the table with a plain list of locks: Grant, CheckAccess and Unlock must give the same results.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb, now := New(0, nil), int64(0)
--- a/ranges/ranges.go
+++ b/ranges/ranges.go
@@ -108,9 +108,9 @@
 	return 0, false
 }
 
-// PauseUntil holds all changes until the given time. It protects against attempts of an earlier process that was killed: it
-// is unknown which bytes they change, and nodes may still execute them for a while. Drawback: the first changes after
-// such a start are delayed by that time.
+// PauseUntil holds all changes until the given time. It protects against attempts of an earlier process that was
+// killed: it is unknown which bytes they change, and nodes may still execute them for a while. Drawback: the first
+// changes after such a start are delayed by that time.
 func (o *Order) PauseUntil(until logic.Micros) { o.pausedUntil = until }
 
 // findKey returns the key for e: the one that all earlier entries that overlap it share, or a new one if there are
@@ -201,8 +201,8 @@
 	o.held = stillHeld
 }
 
-// RefuseExpired removes each held request whose deadline has passed and calls refuse for it. None of them was ever sent, so a
-// refusal's promise of no effect holds.
+// RefuseExpired removes each held request whose deadline has passed and calls refuse for it. None of them was ever
+// sent, so a refusal's promise of no effect holds.
 func (o *Order) RefuseExpired(now logic.Micros, refuse func(id logic.RequestID)) {
 	var expired []*entry
 	for _, e := range o.held {
@@ -216,7 +216,8 @@
 	}
 }
 
-// Next returns the earliest time at which Free or Expired has something to do without any other call; 0: never.
+// Next returns the earliest time at which Release or RefuseExpired has something to do without any other call; 0:
+// never.
 func (o *Order) Next() (at logic.Micros) {
 	for _, e := range o.held {
 		if at == 0 || e.deadline < at {
--- a/slabs/slabs.go
+++ b/slabs/slabs.go
@@ -122,8 +122,8 @@
 // roundUp rounds n up to a multiple of Unit, at least one.
 func roundUp(n int64) int64 { return max((n+Unit-1)/Unit*Unit, Unit) }
 
-// MarkAllocated marks the bytes of a catalogued object as allocated. All calls must precede the first Alloc. It returns an error
-// if the bytes lie in no slab or are allocated already.
+// MarkAllocated marks the bytes of a catalogued object as allocated. All calls must precede the first Alloc. It returns
+// an error if the bytes lie in no slab or are allocated already.
 func (s *Space) MarkAllocated(from, n int64) error {
 	n = roundUp(n)
 	x := s.slabAt(from)
@@ -160,8 +160,8 @@
 	}
 }
 
-// PauseUntil suspends allocation until the given time: writes that an earlier process had in flight when it was killed may
-// still reach any bytes that are free now.
+// PauseUntil suspends allocation until the given time: writes that an earlier process had in flight when it was killed
+// may still reach any bytes that are free now.
 func (s *Space) PauseUntil(until logic.Micros) { s.pausedUntil = until }
 
 // PauseLeft returns the remaining time for which allocation is suspended.
