--- a/internal/front/dav/methods.go
+++ b/internal/front/dav/methods.go
@@ -398,9 +398,7 @@
 
 // dropLocks takes away the locks of a name that is gone. One that cannot be is over in its time.
 func (q *request) dropLocks(name string) {
-	if _, err := q.t.cat.ChangeLocks(func(_ int64, t *locks.Table) (*locks.Lock, []string, error) {
-		return nil, t.RemoveTree(clean(name)), nil
-	}); err != nil {
+	if _, err := q.t.cat.ChangeLocks(func(_ int64, t *locks.Table) (*locks.Lock, []string, error) { return nil, t.Drop(clean(name)), nil }); err != nil {
 		q.l.s.log.Sugar().Warnw("locks of a name that is gone", "error", err)
 	}
 }
--- a/locks/locks.go
+++ b/locks/locks.go
@@ -228,9 +228,9 @@
 	return l != nil && l.Expires > now && l.covers(name)
 }
 
-// RemoveTree removes the locks on a name and all names below it, as needed when it is deleted or moved, and returns
+// Drop removes the locks on a name and all names below it, as needed when it is deleted or moved, and returns
 // their tokens.
-func (t *Table) RemoveTree(name string) (tokens []string) {
+func (t *Table) Drop(name string) (tokens []string) {
 	var all []*Lock
 	prefix := strings.TrimSuffix(name, "/") + "/"
 	if at, ok := t.byRoot.Get(name); ok {
--- a/locks/locks_test.go
+++ b/locks/locks_test.go
@@ -66,7 +66,7 @@
 	if tb.Unlock(20, "/e", "d", "ann") == nil || !tb.Holds(20, "/d/e/f", "d") || tb.Holds(80, "/d", "d") || tb.Holds(20, "/e", "d") {
 		t.Error("a lock covers a wrong name or does not cover a right one")
 	}
-	if got := tb.RemoveTree("/"); len(got) != 1 || tb.Len() != 0 {
+	if got := tb.Drop("/"); len(got) != 1 || tb.Len() != 0 {
 		t.Errorf("%v dropped", got)
 	}
 }
