--- a/logic/inspect.go
+++ b/logic/inspect.go
@@ -16,5 +16,5 @@
 	if v == nil || v.plan.Limit <= 0 {
 		return Slice{}, false
 	}
-	return Slice{Hosts: v.attached, Store: h.fill(v), Pending: v.pending + v.straying}, true
+	return Slice{Hosts: v.attached, Store: h.availableTokens(v), Pending: v.pending + v.abandoned}, true
 }
--- a/logic/limit_fleet_test.go
+++ b/logic/limit_fleet_test.go
@@ -193,7 +193,7 @@
 		arrives(way)
 		ends(way+work, []Outcome{Full, Failed, Reset}[f.rng.IntN(3)])
 	case x < 0.42: // nothing is heard of it
-		arrives(way + f.upTo(left+lateArrival-1500*ms))
+		arrives(way + f.upTo(left+maxArrivalDelay-1500*ms))
 		ends(left, TimedOut)
 	default:
 		arrives(way)
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -82,20 +82,20 @@
 	s.DrawnAtNode = true
 	b := newBench(t, s, 20)
 	plan := s.Plans[2]
-	bound := int(plan.LimitBurst + plan.LimitSlack + plan.Limit*seconds(lateArrival))
+	bound := int(plan.LimitBurst + plan.LimitSlack + plan.Limit*seconds(maxArrivalDelay))
 	most := 0
 	for i := range 600 {
 		for _, id := range sends(b.after(100*ms, b.ask(0, 2, units(1), cell(i%20), attached(1), key(0)))) {
 			b.step(ClientGone{id}, end(id, 0, NodeID(i%20+1), TimedOut))
 		}
-		most = max(most, len(b.h.strays))
+		most = max(most, len(b.h.abandoned))
 	}
 	if most > bound || most < 5 {
 		t.Errorf("%d given-up requests kept, at most %d of one unit can have left", most, bound)
 	}
-	b.wait(lateArrival + sec)
-	if v := b.h.volumes[2]; len(b.h.strays) > 0 || v.straying != 0 {
-		t.Errorf("%d still kept, %v units", len(b.h.strays), v.straying)
+	b.wait(maxArrivalDelay + sec)
+	if v := b.h.volumes[2]; len(b.h.abandoned) > 0 || v.abandoned != 0 {
+		t.Errorf("%d still kept, %v units", len(b.h.abandoned), v.abandoned)
 	}
 }
 
@@ -107,7 +107,7 @@
 	for i := range 20 {
 		sent += float64(len(sends(b.step(b.ask(0, 2, units(1), cell(i), attached(5), key(0))))))
 	}
-	if plan := b.h.set.Plans[2]; sent > (plan.LimitBurst+plan.LimitSlack)/5 || sent == 0 {
+	if plan := b.h.settings.Plans[2]; sent > (plan.LimitBurst+plan.LimitSlack)/5 || sent == 0 {
 		t.Errorf("%v units sent, this host's part of five is %v", sent, (plan.LimitBurst+plan.LimitSlack)/5)
 	}
 }
@@ -122,7 +122,7 @@
 			b.step(end(id, 0, NodeID(i+1), OK))
 		}
 	}
-	if slack := b.h.set.Plans[2].LimitSlack; store < -slack {
+	if slack := b.h.settings.Plans[2].LimitSlack; store < -slack {
 		b.t.Errorf("the limit's store is at %v, its slack is %v", store, slack)
 	}
 	if store > 2 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -18,60 +18,60 @@
 	ms, sec Micros = 1000, 1000 * 1000
 
 	cycle = 10 * ms // Gage's polling period; batches that change something also run one
-	// burst caps a queue's balance, in seconds of its credit, with one largest request as the least.
-	burst     = 0.2
-	stall     = 10 * cycle                // a timer that comes so late says that the host stood still
-	answerBy  = cycle + 5*ms              // a held request has its final answer so long before its dropDead
-	leastTime = 0.5                       // part of its usual time a request takes at least, if work is saved
-	never     = Micros(math.MaxInt64 / 4) // later than any clock, with room for sums
+	// maxBalanceSeconds caps a queue's balance, in seconds of its credit, with one largest request as the least.
+	maxBalanceSeconds = 0.2
+	stallThreshold    = 10 * cycle                // a timer that comes so late says that the host stood still
+	answerMargin      = cycle + 5*ms              // a held request has its final answer so long before its dropDead
+	minTimeShare      = 0.5                       // part of its usual time a request takes at least, if work is saved
+	never             = Micros(math.MaxInt64 / 4) // later than any clock, with room for sums
 
 	// Each node has a window for each pass: the first pass holds what is reserved, and goes on until the
 	// node's wait eats into the aims; the second takes only room that is left, so it shuts long before.
-	// windowMost bounds both, or where hosts are few their part of mostTotal. A window under one means one
+	// maxHostWindow bounds both, or where hosts are few their part of mostTotal. A window under one means one
 	// request out and a pause after its send.
-	windowMost = 2.0
-	mostTotal  = 8.0
-	leastTotal = 3.0
-	spareTotal = 40.0 // what all hosts together have out at a node from the second pass at the start: a few
-	windowGrow = 1.0  // growth of a window under one with each good answer, as a part of it
+	maxHostWindow         = 2.0
+	maxFleetWindow        = 8.0
+	minFleetWindow        = 3.0
+	secondPassFleetWindow = 40.0 // what all hosts together have out at a node from the second pass at the start: a few
+	windowGrowth          = 1.0  // growth of a window under one with each good answer, as a part of it
 	// A request that waited at the node for more than this part of the shortest aim shuts the window of the
 	// first pass, of the second. A node's queue is one for all classes, so the shortest aim counts.
-	reservePart = 0.5
-	sparePart   = 0.2
-	// newsOld is how long an answer tells of its node's wait; after it a shut window with nothing out
+	firstPassWaitShare  = 0.5
+	secondPassWaitShare = 0.2
+	// waitInfoLifetime is how long an answer tells of its node's wait; after it a shut window with nothing out
 	// doubles in each such time again, up to where it started.
-	newsOld   = 1 * sec
-	smooth    = 0.2   // weight of a new sample in a node's smoothed figures
-	failFloor = 0.01  // a failing node's load counts the attempts that one success takes, up to 1/failFloor
-	slowRise  = 0.125 // bounds what a time over twice the usual counts: it is a wait for the most part
-	// Attempts that time out between two quick answers of their node are lost ones; more than missingMost
+	waitInfoLifetime = 1 * sec
+	smoothing        = 0.2   // weight of a new sample in a node's smoothed figures
+	minSuccessShare  = 0.01  // a failing node's load counts the attempts that one success takes, up to 1/failFloor
+	maxUnitTimeRise  = 0.125 // bounds what a time over twice the usual counts: it is a wait for the most part
+	// Attempts that time out between two quick answers of their node are lost ones; more than maxMissingAnswers
 	// in a row are a node that hung. vanishing is the smoothed share of lost ones among those that
 	// waited for long from which a host takes it that answers vanish.
-	missingMost = 2
+	maxMissingAnswers = 2
 	// One that a later request has passed is sent again from doubtful on.
-	vanishing = 0.4
-	doubtful  = 0.3
-	// lateRest times the hosts is how long a node must have had nothing of this host before a request that
+	lossThreshold          = 0.4
+	overtakenLossThreshold = 0.3
+	// lateBackoff times the hosts is how long a node must have had nothing of this host before a request that
 	// can no longer make its aim may go there, so that late ones of all hosts add up to few; vainRest times
 	// the hosts how long at most a node is left alone after an attempt in vain, with the same purpose.
-	lateRest = 250 * ms
-	vainRest = 50 * ms
+	lateBackoff    = 250 * ms
+	timeoutBackoff = 50 * ms
 
-	retryPause = 30 * ms // the wait before a further attempt; it doubles with each
-	// A node that took no connection is left alone for downPause, doubling to downMost, before one tries it.
-	downPause = 100 * ms
-	downMost  = 1600 * ms
-	// doubt is how long a node that took no connections and then answers is treated as started at that
+	retryDelay = 30 * ms // the wait before a further attempt; it doubles with each
+	// A node that took no connection is left alone for minConnectBackoff, doubling to downMost, before one tries it.
+	minConnectBackoff = 100 * ms
+	maxConnectBackoff = 1600 * ms
+	// presumedStartLifetime is how long a node that took no connections and then answers is treated as started at that
 	// moment, unless the list says better.
-	doubt = 5 * sec
-	// meterTime smooths what others serve; meterOld is the age at which such news counts as none.
-	meterTime = 1 * sec
-	meterOld  = 3 * sec
-	// fleetGrowth is how many times the hosts of the settings a request may name: the fleet may have grown
+	presumedStartLifetime = 5 * sec
+	// rateSpan smooths what others serve; meterOld is the age at which such news counts as none.
+	rateSpan   = 1 * sec
+	maxRateAge = 3 * sec
+	// maxFleetGrowth is how many times the hosts of the settings a request may name: the fleet may have grown
 	// since they were read. More makes no sense.
-	fleetGrowth = 16
-	idleAge     = 30 * sec // a volume that is idle for so long loses its entry
-	askAgain    = 500 * ms // the first wait before a failed ask for the node list is repeated; it doubles
+	maxFleetGrowth        = 16
+	maxVolumeIdle         = 30 * sec // a volume that is idle for so long loses its entry
+	initialSubscribeDelay = 500 * ms // the first wait before a failed ask for the node list is repeated; it doubles
 )
 
 // New starts a host, or gives an error that names the setting that cannot be right.
@@ -82,84 +82,84 @@
 	short := slices.MinFunc(s.Classes, func(a, b Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
 	pcg := rand.NewPCG(seed, 0x9e3779b97f4a7c15)
 	return &Host{
-		set: s, shortAim: short, pcg: pcg, rng: rand.New(pcg),
+		settings: s, minAim: short, pcg: pcg, rng: rand.New(pcg),
 		requests: map[RequestID]*request{}, volumes: map[VolumeID]*volume{},
-		nodes: map[NodeID]*node{}, chains: map[uint64]*chain{}, cells: map[int][]*node{},
-		unserved: map[what]Micros{}, anyAt: map[bool]Micros{},
+		nodes: map[NodeID]*node{}, keyQueues: map[uint64]*keyQueue{}, nodesByCell: map[int][]*node{},
+		unserved: map[signature]Micros{}, earliestNewObject: map[bool]Micros{},
 	}, nil
 }
 
 // Step takes the events of one moment and appends the actions that answer them.
 func (h *Host) Step(now Micros, events []Event, actions []Action) []Action {
 	if !h.started {
-		h.started, h.began = true, now
-		if h.set.Subscribe {
-			h.askAt, h.askWait = now, askAgain
+		h.started, h.startedAt = true, now
+		if h.settings.Subscribe {
+			h.subscribeAt, h.subscribeDelay = now, initialSubscribeDelay
 		}
 	}
-	h.before, h.now, h.out = h.now, max(now, h.now), actions
-	clear(h.anyAt)
+	h.previousStep, h.now, h.actions = h.now, max(now, h.now), actions
+	clear(h.earliestNewObject)
 	// This host's own timer comes much too late: the host stood still, so the times of what was out tell
 	// nothing of the nodes. Also covers a suspended machine; harm: one round trip less is learned from.
-	for _, n := range h.order {
-		for _, a := range n.flight {
-			a.blind = a.blind || h.wakeAt > 0 && h.now-h.wakeAt > stall
+	for _, n := range h.sortedNodes {
+		for _, a := range n.inFlight {
+			a.duringStall = a.duringStall || h.wakeAt > 0 && h.now-h.wakeAt > stallThreshold
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case Arrival:
-			h.arrive(e)
+			h.handleArrival(e)
 		case AttemptEnded:
-			h.ended(e)
+			h.handleAttemptEnded(e)
 		case StreamStarted:
 			if r := h.requests[e.Request]; r != nil {
-				r.stream = true
+				r.streaming = true
 			}
 		case ClientGone:
 			if r := h.requests[e.Request]; r != nil {
-				h.forgo(r)
+				h.recordUnserved(r)
 				h.finish(r)
 			}
 		case Ending:
 			// The end goes before any client's patience: who would wait for longer would find nobody.
 			for _, r := range h.requests {
-				r.dropDead, r.aimAt = min(r.dropDead, e.By), min(r.aimAt, e.By)
+				r.deadline, r.aimAt = min(r.deadline, e.By), min(r.aimAt, e.By)
 			}
 		case RoomChanged:
-			h.owedMost = max(e.Room, 0)
+			h.maxUnanswered = max(e.Room, 0)
 		case NodeList:
-			h.list(e)
+			h.handleNodeList(e)
 		case TimerFired:
 			if e.Token == h.token {
 				h.wakeAt = 0
 			}
 		}
 	}
-	h.releaseStrays()
-	h.watch()
-	h.expire()
-	h.releaseChains()
+	h.expireAbandoned()
+	h.checkOverdue()
+	h.expireHeld()
+	h.releaseKeyQueues()
 	h.runCycle()
-	h.relieve()
+	h.shedExcess()
 	h.subscribe()
-	h.wake()
-	actions, h.out = h.out, nil
+	h.armTimer()
+	actions, h.actions = h.actions, nil
 	return actions
 }
 
-func (h *Host) emit(a Action) { h.out = append(h.out, a) }
+func (h *Host) emit(a Action) { h.actions = append(h.actions, a) }
 
-// wake keeps one timer running while anything waits.
-func (h *Host) wake() {
+// armTimer keeps one timer running while anything waits.
+func (h *Host) armTimer() {
 	want := Micros(math.MaxInt64)
-	if h.held > 0 {
+	if h.heldCount > 0 {
 		want = h.now + cycle
 	} else if len(h.requests) > 0 {
-		want = h.now + stall/2
+		want = h.now + stallThreshold/2
 	}
-	if h.askAt > 0 {
-		want = min(want, h.askAt)
+	if h.subscribeAt > 0 {
+		want = min(want, h.subscribeAt)
 	}
 	if want == math.MaxInt64 || h.wakeAt > h.now && h.wakeAt <= want {
 		return
@@ -171,78 +171,78 @@
 
 // ---- events ----
 
-func (h *Host) arrive(e Arrival) {
+func (h *Host) handleArrival(e Arrival) {
 	if h.requests[e.Request] != nil {
 		return
 	}
-	if h.set.Rules.BudgetWindow > 0 && e.Tried <= 0 {
-		h.taken = append(h.taken, h.now)
+	if h.settings.Rules.BudgetWindow > 0 && e.Tried <= 0 {
+		h.recentArrivals = append(h.recentArrivals, h.now)
 	}
-	if e.Class < 0 || e.Class >= len(h.set.Classes) {
+	if e.Class < 0 || e.Class >= len(h.settings.Classes) {
 		h.emit(Deny{Request: e.Request})
 		return
 	}
-	v := h.volume(e)
+	v := h.volumeFor(e)
 	h.seq++
 	r := &request{
-		id: e.Request, seq: h.seq, class: &h.set.Classes[e.Class], vol: v, cell: max(e.Cell, -1), key: e.Key,
-		units: e.Units, arrived: h.now, dropDead: e.DropDead, tried: max(e.Tried, 0), charged: e.Tried > 0,
-		once: e.Once, home: e.Home && e.Cell < 0,
+		id: e.Request, seq: h.seq, class: &h.settings.Classes[e.Class], vol: v, cell: max(e.Cell, -1), key: e.Key,
+		units: e.Units, arrivedAt: h.now, deadline: e.DropDead, earlierAttempts: max(e.Tried, 0), charged: e.Tried > 0,
+		singleAttempt: e.Once, homeZoneOnly: e.Home && e.Cell < 0,
 	}
 	if !(r.units > 0) || math.IsInf(r.units, 0) {
 		r.units = 1 // can't be right
 	}
 	// What a host finds after it stood still came in between: its aim counts from then.
-	came := r.dropDead - r.class.Deadline
-	if came < h.before || came > h.now {
+	came := r.deadline - r.class.Deadline
+	if came < h.previousStep || came > h.now {
 		came = h.now
 	}
 	// Repeat guard: what looks like a request that went unserved a moment ago is its client's repeat, and its
 	// aim counts from the first. Taken for new, repeats would take the places of requests that can earn all.
 	// Harm: a new request for the same data in the same size inherits an older aim, once.
-	if first, ok := h.unserved[r.what()]; ok && r.key != 0 && first+r.class.Deadline > h.now {
+	if first, ok := h.unserved[r.signature()]; ok && r.key != 0 && first+r.class.Deadline > h.now {
 		came = min(came, first)
 	}
-	delete(h.unserved, r.what())
-	r.came = came
-	r.aimAt = min(came+r.class.Aim, r.dropDead)
+	delete(h.unserved, r.signature())
+	r.firstAskedAt = came
+	r.aimAt = min(came+r.class.Aim, r.deadline)
 	h.requests[r.id] = r
-	h.owed++
-	v.live++
-	v.last = h.now
-	h.hold(r, true)
+	h.unanswered++
+	v.liveRequests++
+	v.lastUsed = h.now
+	h.setHeld(r, true)
 	if r.class.InOrder && r.key != 0 {
-		c := h.chains[r.key]
+		c := h.keyQueues[r.key]
 		if c == nil {
-			c = &chain{}
-			h.chains[r.key] = c
+			c = &keyQueue{}
+			h.keyQueues[r.key] = c
 		}
-		r.chain = c
-		c.q = append(c.q, r)
-		if c.q[0] != r || h.now < c.rest {
+		r.keyQueue = c
+		c.requests = append(c.requests, r)
+		if c.requests[0] != r || h.now < c.pausedUntil {
 			return
 		}
 	}
 	h.enqueue(r)
 }
 
-func (h *Host) volume(e Arrival) *volume {
+func (h *Host) volumeFor(e Arrival) *volume {
 	attached := e.Attached
-	if !(attached >= 1 && attached <= fleetGrowth*float64(h.set.Hosts)) {
-		attached = float64(h.set.Hosts)
+	if !(attached >= 1 && attached <= maxFleetGrowth*float64(h.settings.Hosts)) {
+		attached = float64(h.settings.Hosts)
 	}
 	v := h.volumes[e.Volume]
 	if v == nil {
 		plan := &Plan{}
-		if e.Plan >= 0 && e.Plan < len(h.set.Plans) {
-			plan = &h.set.Plans[e.Plan]
+		if e.Plan >= 0 && e.Plan < len(h.settings.Plans) {
+			plan = &h.settings.Plans[e.Plan]
 		}
-		v = &volume{id: e.Volume, plan: plan, attached: attached, credited: h.now, share: h.spare}
+		v = &volume{id: e.Volume, plan: plan, attached: attached, creditedAt: h.now, virtualTime: h.virtualTime}
 		// Limit guard: what the slice had spent before a restart is unknown, so it starts at its lowest
 		// at the time this host began. An entry that aged out was full, and is so again by this sum.
-		v.store, v.stored = -plan.LimitSlack/attached, h.began
+		v.tokens, v.tokensAt = -plan.LimitSlack/attached, h.startedAt
 		h.volumes[e.Volume] = v
-		h.ring = append(h.ring, v)
+		h.roundRobin = append(h.roundRobin, v)
 	}
 	v.attached = max(v.attached, attached)
 	return v
@@ -250,149 +250,149 @@
 
 func (h *Host) enqueue(r *request) {
 	v := r.vol
-	if v.waiting == 0 {
+	if v.queueLength == 0 {
 		if v.balance < 0 {
-			v.balance = min(v.balance+h.reservation(v)*seconds(h.now-v.credited), 0)
+			v.balance = min(v.balance+h.reservation(v)*seconds(h.now-v.creditedAt), 0)
 		}
-		v.credited = h.now
-		v.share = max(v.share, h.spare)
+		v.creditedAt = h.now
+		v.virtualTime = max(v.virtualTime, h.virtualTime)
 	}
-	v.line(r)
+	v.push(r)
 }
 
-func (h *Host) ended(e AttemptEnded) {
+func (h *Host) handleAttemptEnded(e AttemptEnded) {
 	r := h.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].done {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := r.attempts[e.Attempt]
-	a.done = true
-	r.out--
+	a.ended = true
+	r.inFlight--
 	n := a.node
-	n.land(a)
-	n.last = h.now
-	h.learn(r, a, e)
+	n.removeInFlight(a)
+	n.lastActive = h.now
+	h.recordOutcome(r, a, e)
 	ran := e.Outcome == Failed
 	switch e.Outcome {
 	case OK:
-		h.release(r)
+		h.clearPending(r)
 	case Failed, Full: // it may have been answered before its last byte had left
-		r.unsure = true
+		r.maybeSeen = true
 	case TimedOut, Reset, Cancelled:
-		r.unsure, r.adrift = true, r.adrift || e.Outcome != Reset
+		r.maybeSeen, r.mayStillArrive = true, r.mayStillArrive || e.Outcome != Reset
 		ran = true
-		if r.chain != nil {
-			r.chain.rest = max(r.chain.rest, h.now+h.set.Rules.OrderPause)
+		if r.keyQueue != nil {
+			r.keyQueue.pausedUntil = max(r.keyQueue.pausedUntil, h.now+h.settings.Rules.OrderPause)
 		}
 	}
-	if r.over || e.Settled || e.Outcome == OK {
+	if r.finished || e.Settled || e.Outcome == OK {
 		h.finish(r)
 		return
 	}
 	if ran {
-		h.mayHaveRun(r, a)
+		h.restrictRetries(r, a)
 	}
-	if r.out > 0 || r.queued {
+	if r.inFlight > 0 || r.queued {
 		return
 	}
-	r.after = h.now + h.pause(len(r.attempts))
-	if !h.mayRepeat(r) {
-		h.giveUp(r)
+	r.notBefore = h.now + h.retryBackoff(len(r.attempts))
+	if !h.mayRetry(r) {
+		h.answerUnserved(r)
 		return
 	}
-	h.hold(r, true)
+	h.setHeld(r, true)
 	h.enqueue(r)
 }
 
-// mayHaveRun binds a request that must not run twice to the group that drops its repeats.
-func (h *Host) mayHaveRun(r *request, a *attempt) {
+// restrictRetries binds a request that must not run twice to the group that drops its repeats.
+func (h *Host) restrictRetries(r *request, a *attempt) {
 	if r.class.Repeat == Retryable {
 		return
 	}
-	if until := a.sent + r.class.RepeatWindow; !r.maybe || until < r.until {
-		r.until = until
+	if until := a.sentAt + r.class.RepeatWindow; !r.mayHaveRun || until < r.retryUntil {
+		r.retryUntil = until
 	}
-	r.maybe, r.group = true, a.node
+	r.mayHaveRun, r.dedupNode = true, a.node
 	if r.class.Group == GroupCell {
 		r.cell = a.node.Cell
 	}
 }
 
-func (h *Host) pause(tries int) Micros {
-	p := retryPause << min(tries-1, 4)
+func (h *Host) retryBackoff(tries int) Micros {
+	p := retryDelay << min(tries-1, 4)
 	return p/2 + Micros(h.rng.Int64N(int64(p)))
 }
 
-// mayRepeat tells whether a further attempt can still be made at r.after.
-func (h *Host) mayRepeat(r *request) bool {
-	once := r.maybe && (r.class.Repeat == Fragile || r.after >= r.until)
-	more := h.set.MaxAttempts == 0 || r.tries() < h.set.MaxAttempts
-	return more && !once && !r.stream && !r.once && r.after+answerBy < r.dropDead
+// mayRetry tells whether a further attempt can still be made at r.after.
+func (h *Host) mayRetry(r *request) bool {
+	once := r.mayHaveRun && (r.class.Repeat == Fragile || r.notBefore >= r.retryUntil)
+	more := h.settings.MaxAttempts == 0 || r.attemptCount() < h.settings.MaxAttempts
+	return more && !once && !r.streaming && !r.singleAttempt && r.notBefore+answerMargin < r.deadline
 }
 
-// giveUp answers a request that will not be served: refused, with advice, where a retry is surely harmless.
-func (h *Host) giveUp(r *request) {
-	if r.class.Repeat == Retryable || !r.maybe && r.out == 0 {
+// answerUnserved answers a request that will not be served: refused, with advice, where a retry is surely harmless.
+func (h *Host) answerUnserved(r *request) {
+	if r.class.Repeat == Retryable || !r.mayHaveRun && r.inFlight == 0 {
 		deny := Deny{Request: r.id}
-		if h.set.CoolDowns {
-			deny.CoolDown = min(h.soonest(r, false)-h.now, h.set.MaxCoolDown)
+		if h.settings.CoolDowns {
+			deny.CoolDown = min(h.earliestSend(r, false)-h.now, h.settings.MaxCoolDown)
 		}
 		h.emit(deny)
 	} else {
 		h.emit(Surrender{r.id})
 	}
-	h.forgo(r)
+	h.recordUnserved(r)
 	h.finish(r)
 }
 
 // finish ends a request; it is forgotten when no attempt is out.
 func (h *Host) finish(r *request) {
-	if !r.over {
-		h.owed--
+	if !r.finished {
+		h.unanswered--
 	}
-	r.over = true
-	h.hold(r, false)
+	r.finished = true
+	h.setHeld(r, false)
 	h.dequeue(r)
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		return
 	}
-	h.discharge(r)
+	h.settleCharge(r)
 	delete(h.requests, r.id)
-	r.vol.live--
-	r.vol.last = h.now
-	if c := r.chain; c != nil {
-		c.q = slices.DeleteFunc(c.q, func(x *request) bool { return x == r })
+	r.vol.liveRequests--
+	r.vol.lastUsed = h.now
+	if c := r.keyQueue; c != nil {
+		c.requests = slices.DeleteFunc(c.requests, func(x *request) bool { return x == r })
 	}
 }
 
-// releaseChains lets the first request of each rested key into its volume's queue.
-func (h *Host) releaseChains() {
+// releaseKeyQueues lets the first request of each rested key into its volume's queue.
+func (h *Host) releaseKeyQueues() {
 	var due []*request
-	for k, c := range h.chains {
-		if len(c.q) == 0 && h.now >= c.rest {
-			delete(h.chains, k)
-		} else if h.now >= c.rest && c.q[0].waiting && !c.q[0].queued {
-			due = append(due, c.q[0])
+	for k, c := range h.keyQueues {
+		if len(c.requests) == 0 && h.now >= c.pausedUntil {
+			delete(h.keyQueues, k)
+		} else if h.now >= c.pausedUntil && c.requests[0].held && !c.requests[0].queued {
+			due = append(due, c.requests[0])
 		}
 	}
-	for _, r := range inTurn(due) {
+	for _, r := range sortByArrival(due) {
 		h.enqueue(r)
 	}
 }
 
-func (h *Host) list(e NodeList) {
+func (h *Host) handleNodeList(e NodeList) {
 	if e.Kind == ListFailed {
-		if h.set.Subscribe {
-			h.askAt = h.now + h.askWait
-			h.askWait *= 2
-			if w := h.set.Rules.AskWithin / 2; w > 0 {
-				h.askWait = min(h.askWait, w)
+		if h.settings.Subscribe {
+			h.subscribeAt = h.now + h.subscribeDelay
+			h.subscribeDelay *= 2
+			if w := h.settings.Rules.AskWithin / 2; w > 0 {
+				h.subscribeDelay = min(h.subscribeDelay, w)
 			}
 		}
 		return
 	}
 	if e.Kind != ListDelta {
-		for _, n := range h.order {
+		for _, n := range h.sortedNodes {
 			n.State = Gone
 		}
 	}
@@ -401,82 +401,82 @@
 		if n == nil {
 			n = &node{}
 			h.nodes[x.ID] = n
-			h.order = append(h.order, n)
+			h.sortedNodes = append(h.sortedNodes, n)
 		}
 		if n.window[0] == 0 || x.Started != n.Started {
-			n.window, n.latency, n.failing = [2]float64{h.opening(0), h.opening(1)}, 0, 0
+			n.window, n.latency, n.failureShare = [2]float64{h.initialWindow(0), h.initialWindow(1)}, 0, 0
 		}
 		n.Node = x
 	}
-	slices.SortFunc(h.order, func(a, b *node) int { return cmp.Compare(a.ID, b.ID) })
-	clear(h.cells)
-	for _, n := range h.order {
-		h.cells[n.Cell] = append(h.cells[n.Cell], n)
+	slices.SortFunc(h.sortedNodes, func(a, b *node) int { return cmp.Compare(a.ID, b.ID) })
+	clear(h.nodesByCell)
+	for _, n := range h.sortedNodes {
+		h.nodesByCell[n.Cell] = append(h.nodesByCell[n.Cell], n)
 	}
-	if h.set.Subscribe && e.Kind != ListCached {
-		h.askAt, h.askWait = 0, askAgain
+	if h.settings.Subscribe && e.Kind != ListCached {
+		h.subscribeAt, h.subscribeDelay = 0, initialSubscribeDelay
 	}
 }
 
 func (h *Host) subscribe() {
-	if h.askAt > 0 && h.now >= h.askAt {
+	if h.subscribeAt > 0 && h.now >= h.subscribeAt {
 		h.emit(Watch{On: true})
-		h.askAt = h.now + max(h.set.Rules.AskWithin/2, sec)
+		h.subscribeAt = h.now + max(h.settings.Rules.AskWithin/2, sec)
 	}
 }
 
-// expire answers every held request for which nothing can be earned any more, in the Step that finds it:
+// expireHeld answers every held request for which nothing can be earned any more, in the Step that finds it:
 // held back, its client could not come again in time. One with an attempt out waits for that alone.
-func (h *Host) expire() {
+func (h *Host) expireHeld() {
 	var due []*request
 	for _, r := range h.requests {
-		if r.waiting && !h.earns(r) {
+		if r.held && !h.canEarn(r) {
 			due = append(due, r)
 		}
 	}
-	for _, r := range inTurn(due) {
-		if h.dequeue(r); r.out > 0 {
-			h.hold(r, false)
+	for _, r := range sortByArrival(due) {
+		if h.dequeue(r); r.inFlight > 0 {
+			h.setHeld(r, false)
 		} else {
-			h.giveUp(r)
+			h.answerUnserved(r)
 		}
 	}
 }
 
-// relieve gives up held requests while more are owed an answer than there is room for: clients whose
+// shedExcess gives up held requests while more are owed an answer than there is room for: clients whose
 // connections are all taken cannot ask at all, and who finds none is drawn by lot, reserved or not.
 // Exception: Gage would hold a request as long as it can earn something. First go those that can no longer
 // make their aim, then those of the volume whose queue is longest for what is reserved for it, the last in
 // its turn first. Harm: where a rush is over sooner than the aims, they were given up for nothing.
-func (h *Host) relieve() {
-	for h.owedMost > 0 && h.owed > h.owedMost {
+func (h *Host) shedExcess() {
+	for h.maxUnanswered > 0 && h.unanswered > h.maxUnanswered {
 		var worst *request
 		var length float64 // how long its queue takes by its reservation, in seconds
-		for _, v := range h.ring {
-			r, units := h.last(v)
+		for _, v := range h.roundRobin {
+			r, units := h.shedCandidate(v)
 			if r == nil {
 				continue
 			}
 			long := units / max(h.reservation(v), 1)
-			past := h.past(r)
-			if worst == nil || past && !h.past(worst) || past == h.past(worst) && long > length {
+			past := h.missesAim(r)
+			if worst == nil || past && !h.missesAim(worst) || past == h.missesAim(worst) && long > length {
 				worst, length = r, long
 			}
 		}
 		if worst == nil {
 			return
 		}
-		worst.after = max(worst.after, h.now+Micros(length*float64(sec))) // the advice when to come back
-		h.giveUp(worst)
+		worst.notBefore = max(worst.notBefore, h.now+Micros(length*float64(sec))) // the advice when to come back
+		h.answerUnserved(worst)
 	}
 }
 
-// last is the held request of a volume that gives way first, nil where there is none, and all units that
+// shedCandidate is the held request of a volume that gives way first, nil where there is none, and all units that
 // wait there.
-func (h *Host) last(v *volume) (last *request, units float64) {
-	for _, l := range v.lanes {
-		for _, r := range l.q {
-			if units += r.units; r.out == 0 && (last == nil || h.yields(r, last)) {
+func (h *Host) shedCandidate(v *volume) (last *request, units float64) {
+	for _, l := range v.queues {
+		for _, r := range l.requests {
+			if units += r.units; r.inFlight == 0 && (last == nil || h.shedsBefore(r, last)) {
 				last = r
 			}
 		}
@@ -484,41 +484,41 @@
 	return last, units
 }
 
-// past tells whether a held request can no longer make its aim.
-func (h *Host) past(r *request) bool { return h.now+Micros(h.unit*r.units) > r.aimAt }
+// missesAim tells whether a held request can no longer make its aim.
+func (h *Host) missesAim(r *request) bool { return h.now+Micros(h.unitTime*r.units) > r.aimAt }
 
-// yields orders the requests of one volume for last.
-func (h *Host) yields(r, o *request) bool {
-	if h.past(r) != h.past(o) {
-		return h.past(r)
+// shedsBefore orders the requests of one volume for last.
+func (h *Host) shedsBefore(r, o *request) bool {
+	if h.missesAim(r) != h.missesAim(o) {
+		return h.missesAim(r)
 	}
-	return o.leads(r)
+	return o.precedes(r)
 }
 
-// earns tells whether a held request can still be sent so that its answer earns something: within its aim,
-// or late where that earns a part and its client still waits.
+// canEarn tells whether a held request can still be sent so that its answer canEarn something: within its aim,
+// or late where that canEarn a part and its client still waits.
 // Exception: where the settings name a part of its time after which one that never left is better refused, it
 // must leave by then. Harm: late answers that would have earned a little.
-func (h *Host) earns(r *request) bool {
-	need, last := h.unit*r.units, r.dropDead-answerBy-h.set.Tick
+func (h *Host) canEarn(r *request) bool {
+	need, last := h.unitTime*r.units, r.deadline-answerMargin-h.settings.Tick
 	leave := last
-	if h.set.HeldPart > 0 && r.tries() == 0 {
-		leave = min(last, r.arrived+Micros(h.set.HeldPart*float64(r.dropDead-r.arrived))-answerBy)
+	if h.settings.HeldPart > 0 && r.attemptCount() == 0 {
+		leave = min(last, r.arrivedAt+Micros(h.settings.HeldPart*float64(r.deadline-r.arrivedAt))-answerMargin)
 	}
-	at := h.soonest(r, false)
+	at := h.earliestSend(r, false)
 	if at < never && at <= leave && at+Micros(need) <= r.aimAt {
 		return true
 	}
-	at = h.soonest(r, true)
-	return r.class.LateShare > 0 && !r.once && at <= leave && at+Micros(leastTime*need) <= last
+	at = h.earliestSend(r, true)
+	return r.class.LateShare > 0 && !r.singleAttempt && at <= leave && at+Micros(minTimeShare*need) <= last
 }
 
-// soonest is when r could leave, by all that is known now, for a node where nothing would wait before it;
+// earliestSend is when r could leave, by all that is known now, for a node where nothing would wait before it;
 // never where nothing can make that true: no node, no repeat left, more units than its limit ever holds.
-func (h *Host) soonest(r *request, late bool) Micros {
-	at := max(h.now, r.after)
-	if r.chain != nil {
-		at = max(at, r.chain.rest)
+func (h *Host) earliestSend(r *request, late bool) Micros {
+	at := max(h.now, r.notBefore)
+	if r.keyQueue != nil {
+		at = max(at, r.keyQueue.pausedUntil)
 	}
 	if p := r.vol.plan; p.Limit > 0 && !r.charged {
 		room, least := p.LimitBurst/r.vol.attached, r.units-p.LimitSlack/r.vol.attached
@@ -528,44 +528,44 @@
 		if least > room {
 			return never
 		}
-		at = max(at, h.now+Micros(max(least-h.fill(r.vol), 0)*r.vol.attached/p.Limit*float64(sec)))
+		at = max(at, h.now+Micros(max(least-h.availableTokens(r.vol), 0)*r.vol.attached/p.Limit*float64(sec)))
 	}
-	units, anywhere := r.units, r.cell < 0 && !r.maybe && !r.home
+	units, anywhere := r.units, r.cell < 0 && !r.mayHaveRun && !r.homeZoneOnly
 	if anywhere {
-		units = h.set.UnitMean // found once a Step for all of them
+		units = h.settings.UnitMean // found once a Step for all of them
 	}
-	node, known := h.anyAt[late]
+	node, known := h.earliestNewObject[late]
 	if !known || !anywhere {
 		node = never
-		for _, n := range h.places(r) {
-			node = min(node, h.opens(n, units, late))
+		for _, n := range h.candidates(r) {
+			node = min(node, h.nodeAvailableAt(n, units, late))
 		}
 	}
 	if anywhere {
-		h.anyAt[late] = node
+		h.earliestNewObject[late] = node
 	}
-	if at = max(at, node); r.maybe && (r.class.Repeat == Fragile || at >= r.until) {
+	if at = max(at, node); r.mayHaveRun && (r.class.Repeat == Fragile || at >= r.retryUntil) {
 		return never
 	}
 	return at
 }
 
-// opens is when a node that is not told of as drained or gone would take such a request, by its rests, its
+// nodeAvailableAt is when a node that is not told of as drained or gone would take such a request, by its rests, its
 // pause, the pace of its window, the guard of cold nodes and what waits there.
-func (h *Host) opens(n *node, units float64, late bool) Micros {
+func (h *Host) nodeAvailableAt(n *node, units float64, late bool) Micros {
 	if n.State != Ready {
 		return never
 	}
-	at := h.now + Micros(h.wait(n))
-	if n.silent() {
-		at = min(at, n.last+h.tryPause())
+	at := h.now + Micros(h.expectedWait(n))
+	if n.unresponsive() {
+		at = min(at, n.lastActive+h.trialInterval())
 	}
-	if at = max(at, h.now, n.restTo); late {
-		at = max(at, n.last+lateRest*Micros(h.set.Hosts))
+	if at = max(at, h.now, n.backoffUntil); late {
+		at = max(at, n.lastActive+lateBackoff*Micros(h.settings.Hosts))
 	}
-	if w := max(h.window(n, 0), h.window(n, 1)); w < 1 && len(n.flight) == 0 {
-		opened := max(n.last, n.halved[0]) + Micros(float64(newsOld)*(1+math.Log2(1/w)))
-		at = max(at, min(n.sentAt+Micros(h.pace(n)/w), opened))
+	if w := max(h.window(n, 0), h.window(n, 1)); w < 1 && len(n.inFlight) == 0 {
+		opened := max(n.lastActive, n.reducedAt[0]) + Micros(float64(waitInfoLifetime)*(1+math.Log2(1/w)))
+		at = max(at, min(n.sentAt+Micros(h.responseTime(n)/w), opened))
 	}
 	if part, next, warm := h.slowStartShare(n, at); units > part {
 		if part, _, _ = h.slowStartShare(n, next); units > part {
@@ -581,24 +581,24 @@
 // waited for first.
 func (h *Host) Outlook(cell int, units float64) Micros {
 	at := never
-	for _, n := range h.cells[cell] {
-		t := h.opens(n, units, false)
-		if t < never && !h.room(n, 0) {
-			t += Micros(h.pace(n))
+	for _, n := range h.nodesByCell[cell] {
+		t := h.nodeAvailableAt(n, units, false)
+		if t < never && !h.hasCapacity(n, 0) {
+			t += Micros(h.responseTime(n))
 		}
 		at = min(at, t)
 	}
 	if at >= never {
 		return never
 	}
-	return at - h.now + Micros(h.unit*units)
+	return at - h.now + Micros(h.unitTime*units)
 }
 
 // Down tells that no node of a cell takes connections for now, so that what may go elsewhere need not wait
 // for the next try.
 func (h *Host) Down(cell int) bool {
-	for _, n := range h.cells[cell] {
-		if n.State == Ready && (n.down == 0 || h.now >= n.restTo) {
+	for _, n := range h.nodesByCell[cell] {
+		if n.State == Ready && (n.connectBackoff == 0 || h.now >= n.backoffUntil) {
 			return false
 		}
 	}
@@ -611,9 +611,9 @@
 // queue that waits, and the balance is capped.
 func (h *Host) credit(v *volume) {
 	rate := h.reservation(v)
-	v.balance += rate * seconds(h.now-v.credited)
-	v.credited = h.now
-	v.balance = min(v.balance, max(rate*burst, h.set.UnitTop))
+	v.balance += rate * seconds(h.now-v.creditedAt)
+	v.creditedAt = h.now
+	v.balance = min(v.balance, max(rate*maxBalanceSeconds, h.settings.UnitTop))
 }
 
 // reservation is this host's part of the plan's reservation: the even slice, or where answers tell what
@@ -622,12 +622,12 @@
 func (h *Host) reservation(v *volume) float64 {
 	whole := v.plan.Reserve
 	slice := whole / v.attached
-	own, total := v.own.get(h.now, meterTime), v.total
-	if v.totalAt == 0 || h.now-v.totalAt >= meterOld {
-		if !h.set.TellsElsewhere {
+	own, total := v.ownRate.perSecond(h.now, rateSpan), v.totalRate
+	if v.totalRateAt == 0 || h.now-v.totalRateAt >= maxRateAge {
+		if !h.settings.TellsElsewhere {
 			return slice
 		}
-		total = own + v.others.get(h.now, meterTime)
+		total = own + v.otherRate.perSecond(h.now, rateSpan)
 	}
 	mine := whole*own/max(total, own, 1) + max(whole-total, 0)/2
 	return min(max(slice, mine), whole)
@@ -638,16 +638,16 @@
 
 // runCycle is Gage's: a first pass by reservation, a second over the room that is left.
 func (h *Host) runCycle() {
-	h.age()
+	h.dropIdleVolumes()
 	for _, late := range []bool{false, true} {
-		h.turns++
-		for i := range h.ring {
-			v := h.ring[(h.turns+i)%len(h.ring)]
-			if v.waiting == 0 {
+		h.rotation++
+		for i := range h.roundRobin {
+			v := h.roundRobin[(h.rotation+i)%len(h.roundRobin)]
+			if v.queueLength == 0 {
 				continue
 			}
 			h.credit(v)
-			for v.balance >= 0 && v.waiting > 0 {
+			for v.balance >= 0 && v.queueLength > 0 {
 				r, n := h.next(v, 0, late)
 				if r == nil {
 					break
@@ -659,8 +659,8 @@
 		for {
 			var best *request
 			var at *node
-			for _, v := range h.ring {
-				if v.waiting == 0 || best != nil && v.share >= best.vol.share {
+			for _, v := range h.roundRobin {
+				if v.queueLength == 0 || best != nil && v.virtualTime >= best.vol.virtualTime {
 					continue
 				}
 				if r, n := h.next(v, 1, late); r != nil {
@@ -670,8 +670,8 @@
 			if best == nil {
 				break
 			}
-			h.spare = max(h.spare, best.vol.share)
-			best.vol.share += best.units / best.vol.weight()
+			h.virtualTime = max(h.virtualTime, best.vol.virtualTime)
+			best.vol.virtualTime += best.units / best.vol.weight()
 			h.send(best, at)
 		}
 	}
@@ -681,12 +681,12 @@
 func (h *Host) next(v *volume, pass int, late bool) (*request, *node) {
 	var best *request
 	var at *node
-	for _, l := range v.lanes {
-		for _, r := range l.q {
-			if r.after > h.now || best != nil && !r.leads(best) {
+	for _, l := range v.queues {
+		for _, r := range l.requests {
+			if r.notBefore > h.now || best != nil && !r.precedes(best) {
 				continue
 			}
-			if n := h.place(r, pass, late); n != nil {
+			if n := h.selectNode(r, pass, late); n != nil {
 				best, at = r, n
 			}
 		}
@@ -697,184 +697,184 @@
 	return best, at
 }
 
-// leads orders the requests of one volume: the class worth most per unit first, then in turn of arrival.
-func (r *request) leads(o *request) bool {
+// precedes orders the requests of one volume: the class worth most per unit first, then in turn of arrival.
+func (r *request) precedes(o *request) bool {
 	if r.class.Worth != o.class.Worth {
 		return r.class.Worth > o.class.Worth
 	}
 	return r.seq < o.seq
 }
 
-// places are the nodes in use that hold r's shard, or all of them for a new object, and of those the ones
+// candidates are the nodes in use that hold r's shard, or all of them for a new object, and of those the ones
 // that drop its repeat where it may have run.
-func (h *Host) places(r *request) []*node {
-	nodes := h.order
+func (h *Host) candidates(r *request) []*node {
+	nodes := h.sortedNodes
 	if r.cell >= 0 {
-		nodes = h.cells[r.cell]
+		nodes = h.nodesByCell[r.cell]
 	}
-	bound := r.maybe && r.class.Group == GroupZone
-	if !bound && !r.home {
+	bound := r.mayHaveRun && r.class.Group == GroupZone
+	if !bound && !r.homeZoneOnly {
 		return nodes
 	}
 	// Exception: where bytes between zones cost, a caller keeps its new objects in this host's zone.
 	// Harm: other zones idle.
 	var zone []*node
 	for _, n := range nodes {
-		if (!bound || n.Zone == r.group.Zone) && (!r.home || n.Zone == h.set.Zone) {
+		if (!bound || n.Zone == r.dedupNode.Zone) && (!r.homeZoneOnly || n.Zone == h.settings.Zone) {
 			zone = append(zone, n)
 		}
 	}
 	return zone
 }
 
-// place finds the node for r: the one that holds its shard, or for a new object, of those that take it now,
+// selectNode finds the node for r: the one that holds its shard, or for a new object, of those that take it now,
 // the one with the least estimated outstanding load; nil where none does.
-func (h *Host) place(r *request, pass int, late bool) *node {
-	if r.tries() > 0 && !h.budgetAllows() || late && !r.charged && !h.sliceFull(r.vol) {
+func (h *Host) selectNode(r *request, pass int, late bool) *node {
+	if r.attemptCount() > 0 && !h.budgetAllows() || late && !r.charged && !h.bucketFull(r.vol) {
 		return nil
 	}
 	// Herd guard: a node not heard of yet, as after its start, is taken to be as fast as the others, or it
 	// would look best to all hosts at once. Also covers a new list; harm: a faster one is found later.
-	usual := max(h.unit*h.set.UnitMean, 1)
+	usual := max(h.unitTime*h.settings.UnitMean, 1)
 	var best *node
 	var least float64
-	for _, n := range h.places(r) {
-		load := (n.units + r.units) * cmp.Or(n.latency, usual) / (1 + failFloor - n.failing)
-		if (best == nil || load < least) && h.takes(n, r, pass, late) {
+	for _, n := range h.candidates(r) {
+		load := (n.unitsInFlight + r.units) * cmp.Or(n.latency, usual) / (1 + minSuccessShare - n.failureShare)
+		if (best == nil || load < least) && h.accepts(n, r, pass, late) {
 			best, least = n, load
 		}
 	}
 	return best
 }
 
-// takes tells whether a request may go to a node now: whether it is late there as asked, whether the node
-// takes connections, whether its window has room, and the guard of cold nodes.
-func (h *Host) takes(n *node, r *request, pass int, late bool) bool {
-	wait, try := h.wait(n), h.tryPast(n)
+// accepts tells whether a request may go to a node now: whether it is late there as asked, whether the node
+// accepts connections, whether its window has room, and the guard of cold nodes.
+func (h *Host) accepts(n *node, r *request, pass int, late bool) bool {
+	wait, try := h.expectedWait(n), h.allowsTrial(n)
 	if try {
 		wait = 0 // nobody knows
 	}
-	if n.State != Ready || late != (h.now+Micros(wait+h.unit*r.units) > r.aimAt) ||
-		late && (r.class.LateShare <= 0 || h.now+Micros(wait+leastTime*h.unit*r.units) > r.dropDead) ||
-		(n.down > 0 || late) && len(n.flight) > 0 ||
-		late && h.now-n.last < lateRest*Micros(h.set.Hosts) || h.now < n.restTo ||
-		pass == 1 && h.opening(1) < 1 && wait > sparePart*float64(h.shortAim) {
+	if n.State != Ready || late != (h.now+Micros(wait+h.unitTime*r.units) > r.aimAt) ||
+		late && (r.class.LateShare <= 0 || h.now+Micros(wait+minTimeShare*h.unitTime*r.units) > r.deadline) ||
+		(n.connectBackoff > 0 || late) && len(n.inFlight) > 0 ||
+		late && h.now-n.lastActive < lateBackoff*Micros(h.settings.Hosts) || h.now < n.backoffUntil ||
+		pass == 1 && h.initialWindow(1) < 1 && wait > secondPassWaitShare*float64(h.minAim) {
 		return false // the last line: many hosts, whose windows learn late that no room is left
 	}
-	return (h.room(n, pass) || try) && h.slowStartAllows(n, r)
+	return (h.hasCapacity(n, pass) || try) && h.slowStartAllows(n, r)
 }
 
 func (h *Host) send(r *request, n *node) {
 	h.dequeue(r)
-	h.hold(r, false)
+	h.setHeld(r, false)
 	h.charge(r)
-	if r.tries() > 0 && h.set.Rules.BudgetWindow > 0 {
-		h.extra = append(h.extra, h.now)
+	if r.attemptCount() > 0 && h.settings.Rules.BudgetWindow > 0 {
+		h.recentRetries = append(h.recentRetries, h.now)
 	}
-	a := &attempt{req: r, node: n, sent: h.now}
+	a := &attempt{req: r, node: n, sentAt: h.now}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	n.flight = append(n.flight, a)
-	n.units += r.units
-	n.last, n.sentAt = h.now, h.now
-	n.sent.add(h.now, r.units)
+	r.inFlight++
+	n.inFlight = append(n.inFlight, a)
+	n.unitsInFlight += r.units
+	n.lastActive, n.sentAt = h.now, h.now
+	n.sentLog.add(h.now, r.units)
 	s := Send{Request: r.id, Node: n.ID}
-	if r.maybe && r.class.Repeat == Dedup {
-		s.By = r.until // its connection may take longer to come up
+	if r.mayHaveRun && r.class.Repeat == Dedup {
+		s.By = r.retryUntil // its connection may take longer to come up
 	}
 	h.emit(s)
 }
 
-// age drops the entries of volumes that have long been idle; one with a limit only once its slice is
+// dropIdleVolumes drops the entries of volumes that have long been idle; one with a limit only once its slice is
 // surely full, which is what a new entry starts from.
-func (h *Host) age() {
-	keep := h.ring[:0]
-	for _, v := range h.ring {
-		if v.live == 0 && h.now-v.last > idleAge && (v.plan.Limit <= 0 || h.sliceFull(v)) {
+func (h *Host) dropIdleVolumes() {
+	keep := h.roundRobin[:0]
+	for _, v := range h.roundRobin {
+		if v.liveRequests == 0 && h.now-v.lastUsed > maxVolumeIdle && (v.plan.Limit <= 0 || h.bucketFull(v)) {
 			delete(h.volumes, v.id)
 			continue
 		}
 		keep = append(keep, v)
 	}
-	h.ring = keep
+	h.roundRobin = keep
 }
 
 // ---- node window ----
 
-// learn takes what the end of an attempt tells of its node and volume.
-func (h *Host) learn(r *request, a *attempt, e AttemptEnded) {
+// recordOutcome takes what the end of an attempt tells of its node and volume.
+func (h *Host) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	n, v := a.node, r.vol
 	if e.Elsewhere > 0 {
-		v.others.add(h.now, float64(e.Elsewhere), meterTime)
+		v.otherRate.add(h.now, float64(e.Elsewhere), rateSpan)
 	}
-	if e.Used > 0 && h.set.UsePeriod > 0 {
-		v.total = float64(e.Used-1) / 100 * v.plan.Rate / seconds(h.set.UsePeriod)
-		v.totalAt = h.now
+	if e.Used > 0 && h.settings.UsePeriod > 0 {
+		v.totalRate = float64(e.Used-1) / 100 * v.plan.Rate / seconds(h.settings.UsePeriod)
+		v.totalRateAt = h.now
 	}
-	took := h.now - a.sent
+	took := h.now - a.sentAt
 	bad := 0.0
 	// Down guard: a node that takes no connections is tried by one request at a time, so that those it
 	// would serve later do not burn their attempts on it. Also covers a cut link or a full connection
 	// table; harm: up to downMost of a node's time after it is back.
 	if e.Outcome != ConnectFailed {
-		if n.down > downPause && n.Started < n.downAt {
-			n.revived = n.downAt // more than one try in a row failed: its process may be new
+		if n.connectBackoff > minConnectBackoff && n.Started < n.connectFailedAt {
+			n.presumedStart = n.connectFailedAt // more than one try in a row failed: its process may be new
 		}
-		n.down = 0
-	} else if a.sent >= n.downAt {
-		n.down, n.downAt = min(max(2*n.down, downPause), downMost), h.now
-		n.restTo = h.now + n.down
+		n.connectBackoff = 0
+	} else if a.sentAt >= n.connectFailedAt {
+		n.connectBackoff, n.connectFailedAt = min(max(2*n.connectBackoff, minConnectBackoff), maxConnectBackoff), h.now
+		n.backoffUntil = h.now + n.connectBackoff
 	}
 	if e.Outcome == OK {
-		v.own.add(h.now, r.units, meterTime)
-		n.served.add(h.now, r.units)
+		v.ownRate.add(h.now, r.units, rateSpan)
+		n.servedLog.add(h.now, r.units)
 	}
-	if a.blind {
+	if a.duringStall {
 		return
 	}
 	switch e.Outcome {
 	case OK:
 		n.latency = cmp.Or(n.latency, float64(took))
-		n.latency += smooth * (float64(took) - n.latency)
-		h.learnUnit(float64(took) / r.units)
-		wait := max(float64(took)-h.unit*r.units, 0)
-		h.hear(n, wait)
-		for _, x := range n.flight {
-			if x.marks > 0 && x.sent < a.sent && !x.passed {
-				x.passed = true
-				n.missing++
+		n.latency += smoothing * (float64(took) - n.latency)
+		h.updateUnitTime(float64(took) / r.units)
+		wait := max(float64(took)-h.unitTime*r.units, 0)
+		h.recordWait(n, wait)
+		for _, x := range n.inFlight {
+			if x.waitDoublings > 0 && x.sentAt < a.sentAt && !x.overtaken {
+				x.overtaken = true
+				n.missingAnswers++
 			}
 		}
-		if wait < sparePart*float64(h.shortAim) && n.missing <= missingMost {
-			h.vanish = 1 - (1-h.vanish)*math.Pow(1-smooth, float64(n.missing))
+		if wait < secondPassWaitShare*float64(h.minAim) && n.missingAnswers <= maxMissingAnswers {
+			h.lossShare = 1 - (1-h.lossShare)*math.Pow(1-smoothing, float64(n.missingAnswers))
 		}
-		if n.missing, n.restTo = 0, 0; a.marks > 0 {
-			h.vanish -= smooth * h.vanish
+		if n.missingAnswers, n.backoffUntil = 0, 0; a.waitDoublings > 0 {
+			h.lossShare -= smoothing * h.lossShare
 		}
-		for p, part := range [2]float64{reservePart, sparePart} {
-			if past := part * float64(h.shortAim); wait > past {
-				h.shut(n, p, a, past/wait)
+		for p, part := range [2]float64{firstPassWaitShare, secondPassWaitShare} {
+			if past := part * float64(h.minAim); wait > past {
+				h.shrinkWindow(n, p, a, past/wait)
 			} else if w := h.window(n, p); w < 1 {
-				n.window[p] = w * (1 + windowGrow)
-			} else if float64(len(n.flight)+1) >= w/2 {
-				n.window[p] = min(w+1/w, h.most())
+				n.window[p] = w * (1 + windowGrowth)
+			} else if float64(len(n.inFlight)+1) >= w/2 {
+				n.window[p] = min(w+1/w, h.maxWindow())
 			}
 		}
 	case TimedOut, Full, ConnectFailed:
 		// A client that gives up before the node is late is impatient: that is no answer that vanished.
-		if e.Outcome == TimedOut && !a.passed && took > Micros(reservePart*float64(h.shortAim)) {
-			n.missing++
+		if e.Outcome == TimedOut && !a.overtaken && took > Micros(firstPassWaitShare*float64(h.minAim)) {
+			n.missingAnswers++
 		}
-		h.shut(n, 0, a, 0)
-		h.shut(n, 1, a, 0)
+		h.shrinkWindow(n, 0, a, 0)
+		h.shrinkWindow(n, 1, a, 0)
 		// Jam guard: a node that works through what nobody waits for any more stays jammed as long as each
 		// host tries it again by itself every few seconds. After an attempt in vain a host leaves it alone
 		// for a time drawn at random up to vainRest times the hosts, so that the tries of all are spread over
 		// it and the node can drain. One that waited for long may be a lost answer: there it takes as many
 		// in a row as a hung node. Also covers cut-off and slowed nodes, and clients so impatient that the
 		// work of their tries is lost. Harm: a node that was late for an impatient one idles for this host.
-		if e.Outcome != ConnectFailed && (a.marks == 0 || n.missing > missingMost) {
-			n.restTo = h.now + Micros(h.rng.Float64()*float64(vainRest)*float64(h.set.Hosts))
+		if e.Outcome != ConnectFailed && (a.waitDoublings == 0 || n.missingAnswers > maxMissingAnswers) {
+			n.backoffUntil = h.now + Micros(h.rng.Float64()*float64(timeoutBackoff)*float64(h.settings.Hosts))
 		}
 		bad = 1
 	case Failed, Reset:
@@ -882,145 +882,149 @@
 	default:
 		return
 	}
-	n.failing += smooth * (bad - n.failing)
+	n.failureShare += smoothing * (bad - n.failureShare)
 }
 
-// shut shuts a window to the given part, at most by half and at most once a round trip.
-func (h *Host) shut(n *node, pass int, a *attempt, part float64) {
-	if a.sent < n.halved[pass] || a.lost {
+// shrinkWindow shuts a window to the given part, at most by half and at most once a round trip.
+func (h *Host) shrinkWindow(n *node, pass int, a *attempt, part float64) {
+	if a.sentAt < n.reducedAt[pass] || a.lost {
 		return
 	}
-	n.window[pass] = max(h.window(n, pass)*max(part, 0.5), h.least())
-	n.halved[pass] = h.now
+	n.window[pass] = max(h.window(n, pass)*max(part, 0.5), h.minWindow())
+	n.reducedAt[pass] = h.now
 }
 
-// opening is where a window starts: the first pass at its most, the second at this host's part of a few.
-func (h *Host) opening(pass int) float64 {
-	return []float64{h.most(), min(h.most(), spareTotal/float64(h.set.Hosts))}[pass]
+// initialWindow is where a window starts: the first pass at its most, the second at this host's part of a few.
+func (h *Host) initialWindow(pass int) float64 {
+	return []float64{h.maxWindow(), min(h.maxWindow(), secondPassFleetWindow/float64(h.settings.Hosts))}[pass]
 }
 
-// most is what this host may have out at a node: where there are few hosts, its part of what one should bear.
-func (h *Host) most() float64 { return max(windowMost, mostTotal/float64(h.set.Hosts)) }
+// maxWindow is what this host may have out at a node: where there are few hosts, its part of what one should bear.
+func (h *Host) maxWindow() float64 {
+	return max(maxHostWindow, maxFleetWindow/float64(h.settings.Hosts))
+}
 
-// least is this host's part of what all hosts together keep out at a node however slow it is.
-func (h *Host) least() float64 { return min(1, leastTotal/float64(h.set.Hosts)) }
+// minWindow is this host's part of what all hosts together keep out at a node however slow it is.
+func (h *Host) minWindow() float64 { return min(1, minFleetWindow/float64(h.settings.Hosts)) }
 
 // window is the node's window now: one that shut opens again while nothing is heard and nothing is out.
 func (h *Host) window(n *node, pass int) float64 {
-	w, open := n.window[pass], h.opening(pass)
-	if old := h.now - max(n.last, n.halved[pass]); w < open && old > newsOld && len(n.flight) == 0 {
-		return min(w*math.Exp2(float64(old-newsOld)/float64(newsOld)), open)
+	w, open := n.window[pass], h.initialWindow(pass)
+	if old := h.now - max(n.lastActive, n.reducedAt[pass]); w < open && old > waitInfoLifetime && len(n.inFlight) == 0 {
+		return min(w*math.Exp2(float64(old-waitInfoLifetime)/float64(waitInfoLifetime)), open)
 	}
 	return w
 }
 
-// room tells whether the node's window takes one more request.
-func (h *Host) room(n *node, pass int) bool {
+// hasCapacity tells whether the node's window takes one more request.
+func (h *Host) hasCapacity(n *node, pass int) bool {
 	w := h.window(n, pass)
 	if w >= 1 {
-		return float64(len(n.flight))+1 <= w
+		return float64(len(n.inFlight))+1 <= w
 	}
-	return len(n.flight) == 0 && h.now >= n.sentAt+Micros(h.pace(n)/w)
+	return len(n.inFlight) == 0 && h.now >= n.sentAt+Micros(h.responseTime(n)/w)
 }
 
-// pace is how long a node usually takes; where nothing was seen yet, as long as the second pass may wait.
-func (h *Host) pace(n *node) float64 {
-	return cmp.Or(max(n.latency, h.unit*h.set.UnitMean), sparePart*float64(h.shortAim))
+// responseTime is how long a node usually takes; where nothing was seen yet, as long as the second pass may wait.
+func (h *Host) responseTime(n *node) float64 {
+	return cmp.Or(max(n.latency, h.unitTime*h.settings.UnitMean), secondPassWaitShare*float64(h.minAim))
 }
 
-// watch looks at requests that have waited at a node for longer than the first pass allows: their answers
+// checkOverdue looks at requests that have waited at a node for longer than the first pass allows: their answers
 // may be seconds away, or never come. Each says that the node is slow, and shuts its windows at each
 // doubling of its wait. Where answers are known to vanish it is lost instead: it gives up its place and is
 // sent again. Covers lossy links and dropped requests; harm: a request that is only heavy runs twice.
-func (h *Host) watch() {
-	for _, n := range h.order {
-		for i := 0; i < len(n.flight); i++ {
-			a := n.flight[i]
-			waited := float64(h.now-a.sent) - h.unit*a.req.units
-			if a.blind || h.unit == 0 {
+func (h *Host) checkOverdue() {
+	for _, n := range h.sortedNodes {
+		for i := 0; i < len(n.inFlight); i++ {
+			a := n.inFlight[i]
+			waited := float64(h.now-a.sentAt) - h.unitTime*a.req.units
+			if a.duringStall || h.unitTime == 0 {
 				continue
 			}
-			long := waited > reservePart*float64(h.shortAim)*math.Exp2(float64(a.marks))
+			long := waited > firstPassWaitShare*float64(h.minAim)*math.Exp2(float64(a.waitDoublings))
 			if long {
-				if a.marks++; h.vanish < vanishing/4 {
-					h.hear(n, waited)
-					n.feared = true
+				if a.waitDoublings++; h.lossShare < lossThreshold/4 {
+					h.recordWait(n, waited)
+					n.waitAssumed = true
 				}
 			}
-			if a.passed || long && h.vanish > vanishing {
-				n.land(a)
+			if a.overtaken || long && h.lossShare > lossThreshold {
+				n.removeInFlight(a)
 				i--
 				a.lost = true
-				n.failing += smooth * (1 - n.failing)
-				if h.vanish > vanishing || a.passed && h.vanish > doubtful {
-					h.copy(a)
+				n.failureShare += smoothing * (1 - n.failureShare)
+				if h.lossShare > lossThreshold || a.overtaken && h.lossShare > overtakenLossThreshold {
+					h.hedge(a)
 				}
 				continue
 			}
 			for p := range n.window {
 				if long {
-					n.window[p], n.halved[p] = max(n.window[p]/2, h.least()), h.now
+					n.window[p], n.reducedAt[p] = max(n.window[p]/2, h.minWindow()), h.now
 				}
 			}
-			if waited > h.wait(n) && h.vanish <= vanishing {
-				n.wait, n.waitAt, n.feared = waited, h.now, true
+			if waited > h.expectedWait(n) && h.lossShare <= lossThreshold {
+				n.wait, n.waitAt, n.waitAssumed = waited, h.now, true
 			}
 		}
 	}
 }
 
-// copy sends a request again whose answer is lost, where a second copy is allowed.
-func (h *Host) copy(a *attempt) {
+// hedge sends a request again whose answer is lost, where a second hedge is allowed.
+func (h *Host) hedge(a *attempt) {
 	r := a.req
-	if r.over || r.queued || !h.set.SecondCopies || r.class.Repeat == Fragile {
+	if r.finished || r.queued || !h.settings.SecondCopies || r.class.Repeat == Fragile {
 		return
 	}
-	h.mayHaveRun(r, a)
-	if r.after = h.now; h.mayRepeat(r) {
+	h.restrictRetries(r, a)
+	if r.notBefore = h.now; h.mayRetry(r) {
 		h.enqueue(r)
-		h.hold(r, true)
+		h.setHeld(r, true)
 	}
 }
 
-// tryPast lets one request past attempts that wait for long, whether they hold the window or their wait
+// allowsTrial lets one request past attempts that wait for long, whether they hold the window or their wait
 // makes all others late, so seldom that those of all hosts add up to few: its answer tells lost attempts from
 // a node that hangs. Held to the aim by that wait, none would leave before the lost one has timed out.
-func (h *Host) tryPast(n *node) bool { return n.silent() && h.now-n.last > h.tryPause() }
+func (h *Host) allowsTrial(n *node) bool {
+	return n.unresponsive() && h.now-n.lastActive > h.trialInterval()
+}
 
-func (h *Host) tryPause() Micros {
-	return Micros(float64(h.shortAim) * max(1, float64(h.set.Hosts)/leastTotal))
+func (h *Host) trialInterval() Micros {
+	return Micros(float64(h.minAim) * max(1, float64(h.settings.Hosts)/minFleetWindow))
 }
 
-// silent tells whether all that is known of the node's wait is that answers have not come.
-func (n *node) silent() bool {
-	quick := slices.ContainsFunc(n.flight, func(a *attempt) bool { return a.marks == 0 })
-	return !quick && (len(n.flight) > 0 || n.feared)
+// unresponsive tells whether all that is known of the node's wait is that answers have not come.
+func (n *node) unresponsive() bool {
+	quick := slices.ContainsFunc(n.inFlight, func(a *attempt) bool { return a.waitDoublings == 0 })
+	return !quick && (len(n.inFlight) > 0 || n.waitAssumed)
 }
 
-// wait is what a request would wait at the node, by its last news: a queue drains no faster than time. A
+// expectedWait is what a request would expectedWait at the node, by its last news: a queue drains no faster than time. A
 // node not heard of lately is taken to be like the others: in a rush that fills all nodes each host would
 // else lose a request to each of them to find out. Harm: one slow node makes unknown ones seem slower.
-func (h *Host) wait(n *node) float64 {
-	if h.now-n.waitAt > newsOld {
-		return max(n.wait-float64(h.now-n.waitAt), h.waits-float64(h.now-h.waitsAt), 0)
+func (h *Host) expectedWait(n *node) float64 {
+	if h.now-n.waitAt > waitInfoLifetime {
+		return max(n.wait-float64(h.now-n.waitAt), h.meanWait-float64(h.now-h.meanWaitAt), 0)
 	}
 	return max(n.wait-float64(h.now-n.waitAt), 0)
 }
 
-// hear takes in what a request has waited at a node.
-func (h *Host) hear(n *node, wait float64) {
-	n.wait, n.waitAt, n.feared = wait, h.now, false
-	past := max(h.waits-float64(h.now-h.waitsAt), 0)
-	h.waits, h.waitsAt = past+smooth*(wait-past), h.now
+// recordWait takes in what a request has waited at a node.
+func (h *Host) recordWait(n *node, wait float64) {
+	n.wait, n.waitAt, n.waitAssumed = wait, h.now, false
+	past := max(h.meanWait-float64(h.now-h.meanWaitAt), 0)
+	h.meanWait, h.meanWaitAt = past+smoothing*(wait-past), h.now
 }
 
-// learnUnit follows the mean time a unit takes, over all nodes, as one node answers one host too seldom;
+// updateUnitTime follows the mean time a unit takes, over all nodes, as one node answers one host too seldom;
 // what an answer took beyond it is a wait. Times over twice the mean are waits for the most part and raise
 // it slowly, or after a jam all requests would seem too late to be sent, and nothing would teach better.
-func (h *Host) learnUnit(x float64) {
-	h.unit = cmp.Or(h.unit, x)
-	if x > 2*h.unit {
-		x = h.unit * (1 + slowRise)
+func (h *Host) updateUnitTime(x float64) {
+	h.unitTime = cmp.Or(h.unitTime, x)
+	if x > 2*h.unitTime {
+		x = h.unitTime * (1 + maxUnitTimeRise)
 	}
-	h.unit += smooth * (x - h.unit)
+	h.unitTime += smoothing * (x - h.unitTime)
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -84,7 +84,7 @@
 func (b *bench) ask(class, plan int, change ...func(*Arrival)) Arrival {
 	b.next++
 	a := Arrival{Request: b.next, Class: class, Volume: VolumeID(plan), Plan: plan, Attached: 1, Units: 1,
-		DropDead: b.now + b.h.set.Classes[min(class, len(b.h.set.Classes)-1)].Deadline}
+		DropDead: b.now + b.h.settings.Classes[min(class, len(b.h.settings.Classes)-1)].Deadline}
 	for _, f := range change {
 		f(&a)
 	}
@@ -121,7 +121,7 @@
 
 // fill takes both places of node 1's first window with requests of a plan that is not under test.
 func (b *bench) fill() {
-	for range int(b.h.most()) {
+	for range int(b.h.maxWindow()) {
 		b.step(b.ask(0, 4))
 	}
 }
@@ -165,7 +165,7 @@
 
 func TestCreditOnlyWhileWaiting(t *testing.T) {
 	b := newBench(t, plain(), 1)
-	shut := func(w float64) { b.h.order[0].window = [2]float64{w, w} }
+	shut := func(w float64) { b.h.sortedNodes[0].window = [2]float64{w, w} }
 	balance := func(want float64, why string) {
 		t.Helper()
 		if got := b.h.volumes[0].balance; math.Abs(got-want) > 1e-9 {
@@ -173,9 +173,9 @@
 		}
 	}
 	shut(1)
-	b.h.unit = float64(ms)
+	b.h.unitTime = float64(ms)
 	b.step(b.ask(1, 3)) // takes the only place
-	b.h.order[0].flight[0].blind = true
+	b.h.sortedNodes[0].inFlight[0].duringStall = true
 	b.step(b.ask(1, 0, units(4)))
 	balance(0, "nothing is earned by arriving")
 	b.after(100*ms, TimerFired{})
@@ -238,20 +238,20 @@
 		{"answers tell nothing: even slice", false, 0, func(*volume, Micros) {}, 10},
 		{"nothing heard of anyone: half of the unused", true, 0, func(*volume, Micros) {}, 15},
 		{"others take 12, this one 12", true, 0, func(v *volume, now Micros) {
-			v.own.add(now, 12, meterTime)
-			v.others.add(now, 12, meterTime)
+			v.ownRate.add(now, 12, rateSpan)
+			v.otherRate.add(now, 12, rateSpan)
 		}, 15 + 3},
-		{"others take all: even slice", true, 0, func(v *volume, now Micros) { v.others.add(now, 90, meterTime) }, 10},
+		{"others take all: even slice", true, 0, func(v *volume, now Micros) { v.otherRate.add(now, 90, rateSpan) }, 10},
 		{"two fifths of the meter and half of the unused", false, sec, func(v *volume, now Micros) {
-			v.total, v.totalAt = 20, now
-			v.own.add(now, 8, meterTime)
+			v.totalRate, v.totalRateAt = 20, now
+			v.ownRate.add(now, 8, rateSpan)
 		}, 12 + 5},
 		{"all passes through here: all", false, sec, func(v *volume, now Micros) {
-			v.total, v.totalAt = 40, now
-			v.own.add(now, 40, meterTime)
+			v.totalRate, v.totalRateAt = 40, now
+			v.ownRate.add(now, 40, rateSpan)
 		}, 30},
 		{"meter too old: even slice", false, sec, func(v *volume, now Micros) {
-			v.total, v.totalAt = 20, now-meterOld
+			v.totalRate, v.totalRateAt = 20, now-maxRateAge
 		}, 10},
 	} {
 		s := plain()
@@ -287,12 +287,12 @@
 		s := plain()
 		s.Hosts = 100
 		b := newBench(t, s, 1)
-		n := b.h.order[0]
+		n := b.h.sortedNodes[0]
 		b.step(b.ask(0, 0))
-		b.h.unit, n.window = 10*float64(ms), [2]float64{c.from, c.from}
+		b.h.unitTime, n.window = 10*float64(ms), [2]float64{c.from, c.from}
 		b.now += c.took
 		b.h.now = b.now
-		b.h.ended(end(1, 0, 1, c.how))
+		b.h.handleAttemptEnded(end(1, 0, 1, c.how))
 		for p, got := range n.window {
 			if math.Abs(got-c.want[p]) > 0.02*c.want[p] {
 				t.Errorf("%s: window of pass %d is %v, want %v", c.name, p, got, c.want[p])
@@ -300,10 +300,10 @@
 		}
 	}
 	b := newBench(t, plain(), 1)
-	b.h.order[0].window = [2]float64{8, 8}
+	b.h.sortedNodes[0].window = [2]float64{8, 8}
 	b.step(b.ask(0, 0), b.ask(0, 0))
 	b.after(30*ms, end(1, 0, 1, Full), end(2, 0, 1, Full))
-	if got := b.h.order[0].window[0]; got != 4 {
+	if got := b.h.sortedNodes[0].window[0]; got != 4 {
 		t.Errorf("two refusals of one round trip: window %v, want one halving to 4", got)
 	}
 }
@@ -331,12 +331,12 @@
 	s := plain()
 	s.Hosts = 100
 	b := newBench(t, s, 1)
-	n := b.h.order[0]
-	b.h.unit, n.latency = 10*float64(ms), 50*float64(ms)
+	n := b.h.sortedNodes[0]
+	b.h.unitTime, n.latency = 10*float64(ms), 50*float64(ms)
 	n.window = [2]float64{0.25, 0.25}
 	b.step(b.ask(1, 0), b.ask(1, 0))
-	if len(n.flight) != 1 {
-		t.Fatalf("%d out, want one", len(n.flight))
+	if len(n.inFlight) != 1 {
+		t.Fatalf("%d out, want one", len(n.inFlight))
 	}
 	n.window = [2]float64{0.125, 0.125} // an answer that waited nowhere doubles it
 	b.after(20*ms, end(1, 0, 1, OK))
@@ -355,15 +355,15 @@
 // finds has its aim from when it came: one that waited past it goes nowhere, a fresh one goes first.
 func TestStandstill(t *testing.T) {
 	b := newBench(t, plain(), 2)
-	n := b.h.order[0]
+	n := b.h.sortedNodes[0]
 	b.step(b.ask(0, 0))
-	b.h.unit = 10 * float64(ms)
+	b.h.unitTime = 10 * float64(ms)
 	before := [3]float64{n.window[0], n.window[1], n.wait}
 	old := b.ask(0, 0, cell(1))
 	b.now += sec
 	got := b.step(end(1, 0, 1, OK), old, b.ask(0, 0, cell(1)))
-	if after := [3]float64{n.window[0], n.window[1], n.wait}; after != before || b.h.unit != 10*float64(ms) {
-		t.Errorf("learned %v, unit %v from a standstill, had %v", after, b.h.unit, before)
+	if after := [3]float64{n.window[0], n.window[1], n.wait}; after != before || b.h.unitTime != 10*float64(ms) {
+		t.Errorf("learned %v, unit %v from a standstill, had %v", after, b.h.unitTime, before)
 	}
 	if ids := sends(got); len(ids) != 1 || ids[0] == old.Request {
 		t.Errorf("sent %v, want the fresh request alone", ids)
@@ -375,29 +375,29 @@
 func TestUnitTimeSurvivesAJam(t *testing.T) {
 	b := newBench(t, plain(), 1)
 	for range 30 {
-		b.h.learnUnit(30 * float64(ms))
+		b.h.updateUnitTime(30 * float64(ms))
 	}
 	for range 10 {
-		b.h.learnUnit(600 * float64(ms))
+		b.h.updateUnitTime(600 * float64(ms))
 	}
-	if b.h.unit > 40*float64(ms) {
-		t.Errorf("unit time %v us after ten waits of 600 ms, was 30 ms", b.h.unit)
+	if b.h.unitTime > 40*float64(ms) {
+		t.Errorf("unit time %v us after ten waits of 600 ms, was 30 ms", b.h.unitTime)
 	}
 	for range 60 {
-		b.h.learnUnit(90 * float64(ms))
+		b.h.updateUnitTime(90 * float64(ms))
 	}
-	if b.h.unit < 80*float64(ms) {
-		t.Errorf("unit time %v us, work that stays at 90 ms must be learned in the end", b.h.unit)
+	if b.h.unitTime < 80*float64(ms) {
+		t.Errorf("unit time %v us, work that stays at 90 ms must be learned in the end", b.h.unitTime)
 	}
 }
 
 // TestNewObjectPassesAFullNode: a new object goes to a busier node when the least loaded one takes nothing.
 func TestNewObjectPassesAFullNode(t *testing.T) {
 	b := newBench(t, plain(), 2)
-	b.h.unit = 10 * float64(ms)
+	b.h.unitTime = 10 * float64(ms)
 	b.step(b.ask(0, 0, cell(1), units(6)))
-	n := b.h.order[0]
-	n.down, n.downAt, n.restTo = sec, b.now, b.now+sec
+	n := b.h.sortedNodes[0]
+	n.connectBackoff, n.connectFailedAt, n.backoffUntil = sec, b.now, b.now+sec
 	a := b.ask(1, 1, cell(-1))
 	if got := b.step(a); !has(got, Send{Request: a.Request, Node: 2}) {
 		t.Errorf("%v, want a send to node 2: node 1 takes no connections", got)
@@ -408,18 +408,18 @@
 // lately gets no request that would be late there too; news of the node itself, and time, set that right.
 func TestUnknownNodeIsTakenToBeLikeTheOthers(t *testing.T) {
 	b := newBench(t, plain(), 3)
-	b.h.unit = 10 * float64(ms)
+	b.h.unitTime = 10 * float64(ms)
 	for range 20 {
-		b.h.hear(b.h.order[0], 900*float64(ms))
+		b.h.recordWait(b.h.sortedNodes[0], 900*float64(ms))
 	}
-	for _, n := range b.h.order {
-		n.last = b.now // no rest yet after which a late request might go
+	for _, n := range b.h.sortedNodes {
+		n.lastActive = b.now // no rest yet after which a late request might go
 	}
 	a := b.ask(0, 4, cell(1))
 	if got := sends(b.step(a)); len(got) != 0 {
 		t.Errorf("sent %v to a node that nothing is known of while the others are jammed", got)
 	}
-	b.h.order[2].wait, b.h.order[2].waitAt = 0, b.now
+	b.h.sortedNodes[2].wait, b.h.sortedNodes[2].waitAt = 0, b.now
 	if got := sends(b.step(b.ask(0, 4, cell(2)))); len(got) != 1 {
 		t.Error("held a request for a node that has just answered quickly")
 	}
@@ -444,9 +444,9 @@
 		s := plain()
 		s.SecondCopies, s.MaxAttempts = true, 4
 		b := newBench(t, s, 1)
-		n := b.h.order[0]
+		n := b.h.sortedNodes[0]
 		for _, how := range c.in {
-			n.window, n.wait, n.restTo = [2]float64{2, 2}, 0, 0
+			n.window, n.wait, n.backoffUntil = [2]float64{2, 2}, 0, 0
 			a := b.ask(0, 4)
 			b.step(a)
 			took := 20 * ms
@@ -459,8 +459,8 @@
 		n.window, n.wait = [2]float64{2, 2}, 0
 		b.step(b.ask(0, 4))
 		got := b.wait(300 * ms)
-		if (len(sends(got)) == 1) != c.copied || (n.window[0] < 1) == c.copied && b.h.least() < 1 {
-			t.Errorf("%s: copies %v, window %v, vanish %v, %d out", c.name, sends(got), n.window, b.h.vanish, len(n.flight))
+		if (len(sends(got)) == 1) != c.copied || (n.window[0] < 1) == c.copied && b.h.minWindow() < 1 {
+			t.Errorf("%s: copies %v, window %v, vanish %v, %d out", c.name, sends(got), n.window, b.h.lossShare, len(n.inFlight))
 		}
 	}
 }
@@ -470,10 +470,10 @@
 	s := plain()
 	s.Hosts = 100
 	b := newBench(t, s, 1)
-	b.h.unit, b.h.order[0].window = 10*float64(ms), [2]float64{2, 2}
+	b.h.unitTime, b.h.sortedNodes[0].window = 10*float64(ms), [2]float64{2, 2}
 	b.step(b.ask(0, 0))
 	b.wait(450 * ms)
-	if got := b.h.order[0].window; got != [2]float64{0.5, 0.5} {
+	if got := b.h.sortedNodes[0].window; got != [2]float64{0.5, 0.5} {
 		t.Errorf("windows %v after twice the part of the aim, want two halvings", got)
 	}
 }
@@ -507,7 +507,7 @@
 	if len(sends(got)) != 0 {
 		t.Errorf("sent late requests %v at once", sends(got))
 	}
-	if got := sends(b.after(4*lateRest, TimerFired{})); len(got) != 1 {
+	if got := sends(b.after(4*lateBackoff, TimerFired{})); len(got) != 1 {
 		t.Errorf("sent %v after the node's rest, want the late one", got)
 	}
 }
@@ -515,7 +515,7 @@
 func TestNewObjectsGoWhereLoadIsLeast(t *testing.T) {
 	b := newBench(t, plain(), 3)
 	b.step(b.ask(0, 0, cell(0)))
-	b.h.nodes[2].failing = 1
+	b.h.nodes[2].failureShare = 1
 	a := b.ask(0, 0, cell(-1))
 	if got := b.step(a); !has(got, Send{Request: a.Request, Node: 3}) {
 		t.Errorf("%v, want a send to node 3: 1 is busy, 2 fails", got)
@@ -599,8 +599,8 @@
 		if store < -plan.LimitSlack {
 			t.Errorf("outcome %d: the limit's store is at %v", how, store)
 		}
-		for !r.over {
-			if r.out == 0 {
+		for !r.finished {
+			if r.inFlight == 0 {
 				b.after(20*ms, TimerFired{b.h.token})
 				continue
 			}
@@ -619,8 +619,8 @@
 		a := b.ask(0, 2, units(6), attached(1))
 		b.step(a)
 		b.step(ClientGone{a.Request}, end(a.Request, 0, 1, how))
-		if v := b.h.volumes[a.Volume]; v.pending != 0 || b.h.fill(v) != v.most()-drawn {
-			t.Errorf("outcome %d: %v pending, %v in the slice", how, v.pending, b.h.fill(v))
+		if v := b.h.volumes[a.Volume]; v.pending != 0 || b.h.availableTokens(v) != v.maxTokens()-drawn {
+			t.Errorf("outcome %d: %v pending, %v in the slice", how, v.pending, b.h.availableTokens(v))
 		}
 	}
 }
@@ -722,7 +722,7 @@
 			if got := sends(b.after(2*ms, TimerFired{})); len(got) != 0 {
 				t.Errorf("tried again at once: %v", got)
 			}
-			b.after(downPause<<i, TimerFired{})
+			b.after(minConnectBackoff<<i, TimerFired{})
 		}
 		b.after(ms, end(1, c.fails, 1, OK))
 		if got := len(sends(b.step(b.ask(0, 0, units(5))))); got != c.want {
@@ -731,7 +731,7 @@
 		for id := range b.h.requests {
 			b.step(end(id, len(b.h.requests[id].attempts)-1, 1, Cancelled))
 		}
-		b.now += doubt
+		b.now += presumedStartLifetime
 		if got := len(sends(b.after(0, b.ask(1, 0, units(5))))); got == 0 {
 			t.Errorf("%d failed connections: still held after the doubt", c.fails)
 		}
@@ -778,11 +778,11 @@
 			}
 			continue
 		}
-		got = b.after(2*retryPause, TimerFired{})
+		got = b.after(2*retryDelay, TimerFired{})
 		if len(sends(got)) != 1 {
 			t.Errorf("%s: %v, want a further attempt", c.name, got)
 		}
-		if c.class == 2 && !has(got, Send{Request: 1, Node: n.ID, By: sent + b.h.set.Classes[2].RepeatWindow}) {
+		if c.class == 2 && !has(got, Send{Request: 1, Node: n.ID, By: sent + b.h.settings.Classes[2].RepeatWindow}) {
 			t.Errorf("%s: %v, want it at node %d, before it forgets the first", c.name, got, n.ID)
 		}
 	}
@@ -801,12 +801,12 @@
 	if got := b.after(ms, Ending{By: by}); has(got, Deny{Request: held.Request}) {
 		t.Fatal("given up too early")
 	}
-	b.now = by - answerBy - ms
-	if b.step(TimerFired{}); b.h.requests[held.Request] != nil && !b.h.requests[held.Request].over {
+	b.now = by - answerMargin - ms
+	if b.step(TimerFired{}); b.h.requests[held.Request] != nil && !b.h.requests[held.Request].finished {
 		b.now = by - 10*ms
 		b.step(TimerFired{})
 	}
-	if r := b.h.requests[held.Request]; r != nil && !r.over {
+	if r := b.h.requests[held.Request]; r != nil && !r.finished {
 		t.Fatal("held beyond the end")
 	}
 }
@@ -833,14 +833,14 @@
 	if got := b.step(end(out, 0, 1, TimedOut)); !has(got, Deny{Request: out}) {
 		t.Errorf("%v, want an answer to the time-out at the deadline", got)
 	}
-	if n := len(b.h.order[0].flight); n != 1 {
+	if n := len(b.h.sortedNodes[0].inFlight); n != 1 {
 		t.Errorf("%d out at the node, want 1", n)
 	}
 	if got := b.step(ClientGone{2}, ClientGone{2}, ClientGone{99}); len(got) != 0 {
 		t.Errorf("%v for clients that left", got)
 	}
 	b.after(ms, AttemptEnded{Request: 2, Node: 1, Outcome: TimedOut, Settled: true, Load: NoLoad})
-	if n := len(b.h.order[0].flight); n != 0 || len(b.h.requests) != 0 {
+	if n := len(b.h.sortedNodes[0].inFlight); n != 0 || len(b.h.requests) != 0 {
 		t.Errorf("%d out, %d requests kept; want none", n, len(b.h.requests))
 	}
 }
@@ -850,7 +850,7 @@
 	s.Rules.OrderPause = 100 * ms
 	b := newBench(t, s, 3)
 	b.step(b.ask(2, 0, key(5)), b.ask(2, 0, key(5), cell(1)), b.ask(2, 0, key(6), cell(2)))
-	if b.h.requests[2].out != 0 || b.h.requests[3].out != 1 {
+	if b.h.requests[2].inFlight != 0 || b.h.requests[3].inFlight != 1 {
 		t.Error("want the second of key 5 held and key 6 sent")
 	}
 	if got := sends(b.after(10*ms, end(1, 0, 1, OK))); !reflect.DeepEqual(got, []RequestID{2}) {
@@ -862,7 +862,7 @@
 	if got := sends(b.after(90*ms, TimerFired{})); len(got) != 0 {
 		t.Errorf("sent %v within the pause", got)
 	}
-	b.h.order[0].last = 0
+	b.h.sortedNodes[0].lastActive = 0
 	if got := sends(b.after(20*ms, TimerFired{})); !reflect.DeepEqual(got, []RequestID{four.Request}) {
 		t.Errorf("sent %v after the pause, want %d", got, four.Request)
 	}
@@ -878,7 +878,7 @@
 		t.Errorf("%d further attempts, want the one that is free", len(got))
 	}
 	b.step(end(1, 1, 1, OK))
-	b.h.order[0].last = 0
+	b.h.sortedNodes[0].lastActive = 0
 	if got := sends(b.after(1100*ms, TimerFired{})); len(got) != 1 {
 		t.Errorf("%d further attempts in the next window, want 1", len(got))
 	}
@@ -892,8 +892,8 @@
 	b := newBench(t, s, 1)
 	tried := func(n int) func(*Arrival) { return func(a *Arrival) { a.Tried = n } }
 	got := b.step(b.ask(0, 2, tried(2)))
-	if len(sends(got)) != 1 || b.h.volumes[2].store > 0 {
-		t.Fatalf("sent %v, the limit's store holds %v", sends(got), b.h.volumes[2].store)
+	if len(sends(got)) != 1 || b.h.volumes[2].tokens > 0 {
+		t.Fatalf("sent %v, the limit's store holds %v", sends(got), b.h.volumes[2].tokens)
 	}
 	if got := b.after(ms, end(1, 0, 1, Failed)); !has(got, Deny{Request: 1}) {
 		t.Errorf("%v after the third attempt, want it given up", got)
@@ -921,11 +921,11 @@
 	if !b.h.Down(0) || b.h.Down(1) {
 		t.Error("the node that took no connection is not down, or the other is")
 	}
-	b.after(downPause, TimerFired{})
+	b.after(minConnectBackoff, TimerFired{})
 	if b.h.Down(0) {
 		t.Error("down after the pause, when one request is to try it")
 	}
-	b.h.hear(b.h.order[1], 600*1e3)
+	b.h.recordWait(b.h.sortedNodes[1], 600*1e3)
 	if got := b.step(b.ask(0, 0, cell(1), once), b.ask(0, 0, cell(1))); !has(got, Deny{Request: 2}) || has(got, Deny{Request: 3}) {
 		t.Errorf("%v where the aim is out of reach, want the one that may go elsewhere given up", got)
 	}
@@ -957,14 +957,14 @@
 	if got := b.h.Outlook(7, 1); got != never {
 		t.Errorf("%d for a cell that nobody holds", got)
 	}
-	b.h.unit = 1000
+	b.h.unitTime = 1000
 	free := b.h.Outlook(0, 2)
 	if free != 2*ms {
 		t.Errorf("%d at a free node, want the request's own time", free)
 	}
 	b.fill()
 	full := b.h.Outlook(0, 2)
-	b.h.hear(b.h.order[0], 80*1e3)
+	b.h.recordWait(b.h.sortedNodes[0], 80*1e3)
 	waits := b.h.Outlook(0, 2)
 	if full <= free || waits < full+70*ms || b.h.Outlook(1, 2) >= full {
 		t.Errorf("free %d, full %d, with 80 ms of wait %d, the other %d", free, full, waits, b.h.Outlook(1, 2))
@@ -981,7 +981,7 @@
 	b.step(a)
 	b.after(ms, StreamStarted{Request: a.Request})
 	b.now = a.DropDead + sec
-	if got := b.step(TimerFired{}); len(got) != 1 || !has(got, Wake{stall / 2, b.h.token}) {
+	if got := b.step(TimerFired{}); len(got) != 1 || !has(got, Wake{stallThreshold / 2, b.h.token}) {
 		t.Errorf("%v for a stream under way, want no answer", got)
 	}
 	b.step(AttemptEnded{Request: a.Request, Node: 1, Outcome: Reset, Settled: true, Load: NoLoad})
@@ -1022,8 +1022,8 @@
 	b.step(b.ask(0, 0), b.ask(0, 2))
 	b.after(200*ms, TimerFired{})
 	b.after(10*ms, end(1, 0, 1, OK), end(2, 0, 1, OK))
-	b.after(idleAge+sec, b.ask(0, 1))
-	if len(b.h.volumes) != 1 || len(b.h.ring) != 1 {
+	b.after(maxVolumeIdle+sec, b.ask(0, 1))
+	if len(b.h.volumes) != 1 || len(b.h.roundRobin) != 1 {
 		t.Errorf("%d volumes kept, want the one in use", len(b.h.volumes))
 	}
 }
@@ -1074,9 +1074,9 @@
 	if !has(got, Deny{Request: 1}) {
 		t.Errorf("%v, want a refusal for the unknown class", got)
 	}
-	for _, v := range b.h.ring {
-		if math.IsNaN(v.balance) || math.IsNaN(v.share) || math.IsInf(v.share, 0) || v.attached < 1 {
-			t.Errorf("volume %d: balance %v, share %v, attached %v", v.id, v.balance, v.share, v.attached)
+	for _, v := range b.h.roundRobin {
+		if math.IsNaN(v.balance) || math.IsNaN(v.virtualTime) || math.IsInf(v.virtualTime, 0) || v.attached < 1 {
+			t.Errorf("volume %d: balance %v, share %v, attached %v", v.id, v.balance, v.virtualTime, v.attached)
 		}
 	}
 }
@@ -1092,7 +1092,7 @@
 			t.Errorf("attached %v became %v", n, v.attached)
 		}
 		b.now += 3600 * sec
-		if b.step(TimerFired{}); b.h.held != 0 {
+		if b.step(TimerFired{}); b.h.heldCount != 0 {
 			t.Errorf("attached %v: still held an hour later", n)
 		}
 	}
@@ -1147,7 +1147,7 @@
 func TestJammedNodeDrains(t *testing.T) {
 	s := plain()
 	s.Hosts = 400
-	most := int(sec/vainRest) * 2 // tries a second of all hosts, with room for chance
+	most := int(sec/timeoutBackoff) * 2 // tries a second of all hosts, with room for chance
 	var each [30]int
 	for host := range s.Hosts {
 		s.Number = host
@@ -1183,8 +1183,8 @@
 // one that answers as usual; taken for the fastest it would get the new objects of all hosts at once.
 func TestNewObjectsSpreadOverFreshNodes(t *testing.T) {
 	b := newBench(t, plain(), 2)
-	b.h.unit, b.h.set.UnitMean = 20*float64(ms), 2
-	b.h.order[0].latency = 30 * float64(ms)
+	b.h.unitTime, b.h.settings.UnitMean = 20*float64(ms), 2
+	b.h.sortedNodes[0].latency = 30 * float64(ms)
 	a := b.ask(0, 4, cell(-1))
 	if got := b.step(a); !has(got, Send{Request: a.Request, Node: 1}) {
 		t.Errorf("%v, want a send to node 1, which is known to be fast", got)
@@ -1194,7 +1194,7 @@
 // TestGivenUpIsAnsweredAtOnce: a request is held only while a send that earns something is possible; else it
 // has its answer in the Step that finds it, with the time until one may be, where clients are told.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	node := func(b *bench) *node { return b.h.order[0] }
+	node := func(b *bench) *node { return b.h.sortedNodes[0] }
 	for _, c := range []struct {
 		name  string
 		plan  int
@@ -1207,16 +1207,16 @@
 		{"a free node", 3, 1, 0.2, func(b *bench) {}, true, 0},
 		{"no node holds the shard", 3, 1, 0.2, func(b *bench) { b.step(NodeList{Kind: ListFull}) }, false, 3 * sec},
 		{"more units than the limit ever holds", 2, 30, 0.2, func(b *bench) {}, false, 3 * sec},
-		{"the limit fills up in time", 2, 10, 0.2, func(b *bench) { b.h.began = b.now }, true, 0},
-		{"the limit fills up too late", 2, 20, 0.2, func(b *bench) { b.h.set.Plans[2].Limit = 4 }, false, 3 * sec},
-		{"what waits is gone within the aim", 3, 1, 0, func(b *bench) { b.h.hear(node(b), 300*1e3) }, true, 0},
-		{"what waits is gone past the aim", 3, 1, 0, func(b *bench) { b.h.hear(node(b), 500*1e3) }, false, 500 * ms},
-		{"and late answers earn", 3, 1, 0.2, func(b *bench) { b.h.hear(node(b), 500*1e3) }, true, 0},
-		{"what waits outlasts the client", 3, 1, 0.2, func(b *bench) { b.h.hear(node(b), 5e6) }, false, 3 * sec},
-		{"the node rests for long", 3, 1, 0.2, func(b *bench) { node(b).restTo = b.now + 5*sec }, false, 3 * sec},
-		{"the node is tried again in time", 3, 1, 0, func(b *bench) { node(b).restTo = b.now + 300*ms }, true, 0},
+		{"the limit fills up in time", 2, 10, 0.2, func(b *bench) { b.h.startedAt = b.now }, true, 0},
+		{"the limit fills up too late", 2, 20, 0.2, func(b *bench) { b.h.settings.Plans[2].Limit = 4 }, false, 3 * sec},
+		{"what waits is gone within the aim", 3, 1, 0, func(b *bench) { b.h.recordWait(node(b), 300*1e3) }, true, 0},
+		{"what waits is gone past the aim", 3, 1, 0, func(b *bench) { b.h.recordWait(node(b), 500*1e3) }, false, 500 * ms},
+		{"and late answers earn", 3, 1, 0.2, func(b *bench) { b.h.recordWait(node(b), 500*1e3) }, true, 0},
+		{"what waits outlasts the client", 3, 1, 0.2, func(b *bench) { b.h.recordWait(node(b), 5e6) }, false, 3 * sec},
+		{"the node rests for long", 3, 1, 0.2, func(b *bench) { node(b).backoffUntil = b.now + 5*sec }, false, 3 * sec},
+		{"the node is tried again in time", 3, 1, 0, func(b *bench) { node(b).backoffUntil = b.now + 300*ms }, true, 0},
 		{"its window opens too late", 3, 1, 0, func(b *bench) {
-			node(b).window, node(b).sentAt, node(b).last = [2]float64{0.08, 0.08}, b.now, b.now
+			node(b).window, node(b).sentAt, node(b).lastActive = [2]float64{0.08, 0.08}, b.now, b.now
 		}, false, sec},
 		{"its window may open with an answer", 3, 1, 0, func(b *bench) { b.fill() }, true, 0},
 		{"its turn at a cold node is far", 3, 1, 0.2, func(b *bench) { b.cold(b.now, 99) }, false, 3 * sec},
@@ -1248,12 +1248,12 @@
 
 // cold lets node 1 start at a time, with this host's turn there so many slots of 300 ms away.
 func (b *bench) cold(at Micros, slots int) {
-	r := &b.h.set.Rules
+	r := &b.h.settings.Rules
 	r.ColdFrom, r.ColdTime, r.ColdUnits, r.OverloadTime, r.TipMultiple = 0.2, 20*sec, 4, 200*ms, 3
-	b.h.set.Hosts, b.h.set.UnitMean, b.h.began = 100, 2, 0
+	b.h.settings.Hosts, b.h.settings.UnitMean, b.h.startedAt = 100, 2, 0
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Ready, Started: at}}})
-	for b.h.set.Number = range b.h.set.Hosts {
-		_, next := b.h.turn(b.h.order[0], 4, 300*ms, b.now)
+	for b.h.settings.Number = range b.h.settings.Hosts {
+		_, next := b.h.slotShare(b.h.sortedNodes[0], 4, 300*ms, b.now)
 		if wait := next - b.now; wait > Micros(slots-1)*300*ms && wait <= Micros(slots)*300*ms {
 			return
 		}
@@ -1335,13 +1335,13 @@
 		b.step(b.ask(0, plan)) // what has no reservation spends its first balance for good
 		b.after(20*ms, end(1, 0, 1, OK))
 		b.wait(2 * sec)
-		b.h.unit = 10 * float64(ms)
-		b.h.waits, b.h.waitsAt = 150e3, b.now // over a fifth of 400 ms, and in time for the aim
+		b.h.unitTime = 10 * float64(ms)
+		b.h.meanWait, b.h.meanWaitAt = 150e3, b.now // over a fifth of 400 ms, and in time for the aim
 		if got := sends(b.step(b.ask(0, plan))); len(got) != want {
 			t.Errorf("plan %d, %d hosts: %d sends, want %d", plan, c.hosts, len(got), want)
 		}
 		b.wait(100 * ms)
-		if len(b.h.order[0].flight) == 0 {
+		if len(b.h.sortedNodes[0].inFlight) == 0 {
 			t.Errorf("plan %d: still held when the wait has drained", plan)
 		}
 	}
@@ -1354,9 +1354,9 @@
 		s := plain()
 		s.Hosts = c.hosts
 		b := newBench(t, s, 1)
-		n := b.h.order[0]
+		n := b.h.sortedNodes[0]
 		b.step(b.ask(0, 3))
-		n.flight[0].marks, n.window = 1, [2]float64{1, 1}
+		n.inFlight[0].waitDoublings, n.window = 1, [2]float64{1, 1}
 		b.wait(500 * ms) // the pause is 400 ms for two hosts, 4 s for thirty
 		if got := sends(b.step(b.ask(0, 3))); len(got) != c.want {
 			t.Errorf("%d hosts: %d sends past the window, want %d", c.hosts, len(got), c.want)
@@ -1375,17 +1375,17 @@
 		s := plain()
 		s.Hosts, s.Classes[0].Aim, s.Classes[0].LateShare = 4, 100*ms, 0
 		b := newBench(t, s, 1)
-		b.h.unit = 10 * float64(ms)
+		b.h.unitTime = 10 * float64(ms)
 		lost := b.ask(0, 3)
 		b.step(lost)
 		b.wait(700 * ms)
 		if !c.out {
 			b.step(end(lost.Request, 0, 1, TimedOut), ClientGone{lost.Request})
 		}
-		if wait := b.h.wait(b.h.order[0]); wait < 300e3 {
+		if wait := b.h.expectedWait(b.h.sortedNodes[0]); wait < 300e3 {
 			t.Fatalf("%s: a wait of %v", c.name, wait)
 		}
-		b.h.order[0].restTo = 0
+		b.h.sortedNodes[0].backoffUntil = 0
 		b.wait(140 * ms)
 		a, next := b.ask(0, 3), b.ask(0, 3)
 		if got := sends(b.step(a, next)); len(got) != 1 || got[0] != a.Request {
@@ -1407,11 +1407,11 @@
 		s := plain()
 		s.SecondCopies, s.MaxAttempts = true, 4
 		b := newBench(t, s, 1)
-		b.h.unit, b.h.vanish = 10*float64(ms), c.vanish
+		b.h.unitTime, b.h.lossShare = 10*float64(ms), c.vanish
 		lost, quick := b.ask(0, 3), b.ask(0, 3)
 		b.step(lost)
 		b.wait(290 * ms) // past half of its aim
-		n := b.h.order[0]
+		n := b.h.sortedNodes[0]
 		n.window, n.wait = [2]float64{2, 2}, 0
 		b.step(quick)
 		got := sends(b.after(20*ms, end(quick.Request, 0, 1, OK)))
@@ -1431,7 +1431,7 @@
 		s.CoolDowns, s.MaxCoolDown = true, 10*sec
 		b := newBench(t, s, 1)
 		b.step(RoomChanged{Room: room})
-		b.h.unit = 10 * float64(ms)
+		b.h.unitTime = 10 * float64(ms)
 		b.fill() // two are out
 		plans := map[RequestID]int{}
 		for i := range 13 {
@@ -1459,23 +1459,23 @@
 		a := b.ask(0, 1)
 		plans[a.Request] = 1
 		got := denied(b.step(a))
-		if b.h.owed > room || b.h.owed < room && len(got) > 0 {
-			t.Fatalf("%d owed an answer, %v denied", b.h.owed, got)
+		if b.h.unanswered > room || b.h.unanswered < room && len(got) > 0 {
+			t.Fatalf("%d owed an answer, %v denied", b.h.unanswered, got)
 		}
 		for _, id := range got {
 			for _, r := range b.h.requests {
-				if p, asked := plans[r.id]; !r.over && asked && p == plans[id] && r.id > id {
+				if p, asked := plans[r.id]; !r.finished && asked && p == plans[id] && r.id > id {
 					t.Errorf("%d was denied before %d", id, r.id)
 				}
 			}
 		}
 	}
-	if b.h.requests[1].over {
+	if b.h.requests[1].finished {
 		t.Error("one that is out gave way")
 	}
 	left := [2]int{}
 	for id, r := range b.h.requests {
-		if p, asked := plans[id]; asked && !r.over {
+		if p, asked := plans[id]; asked && !r.finished {
 			left[p]++
 		}
 	}
@@ -1498,15 +1498,15 @@
 		b.step(b.ask(0, 0))
 	}
 	for _, r := range b.h.requests {
-		out += r.out
+		out += r.inFlight
 	}
 	if out != 2 {
 		t.Errorf("%d out, want the two that were", out)
 	}
 
 	b, _ = full(0)
-	if got := denied(b.step(RoomChanged{Room: 9})); len(got) != 6 || b.h.owed != 9 {
-		t.Errorf("%d denied as the room becomes 9, %d owed an answer", len(got), b.h.owed)
+	if got := denied(b.step(RoomChanged{Room: 9})); len(got) != 6 || b.h.unanswered != 9 {
+		t.Errorf("%d denied as the room becomes 9, %d owed an answer", len(got), b.h.unanswered)
 	}
 
 	b, _ = full(0)
@@ -1532,7 +1532,7 @@
 		a := b.ask(0, 3)
 		b.step(a)
 		if c.left {
-			b.h.requests[a.Request].tried = 1
+			b.h.requests[a.Request].earlierAttempts = 1
 		}
 		for b.now < 15*sec && b.h.requests[a.Request] != nil {
 			b.wait(cycle)
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -83,37 +83,37 @@
 		}
 		return now - at
 	}
-	past := func(r rate) Past { return Past{age(r.at), r.sum} }
-	pasts := func(l log) (out []Past) {
+	past := func(r decayingSum) Past { return Past{age(r.at), r.sum} }
+	pasts := func(l unitLog) (out []Past) {
 		for _, e := range l {
 			out = append(out, Past{now - e.at, e.units})
 		}
 		return out
 	}
-	m := Memory{Waits: h.waits, WaitsAge: age(h.waitsAt), Vanish: h.vanish, Unit: h.unit, Spare: h.spare, Turns: h.turns}
+	m := Memory{Waits: h.meanWait, WaitsAge: age(h.meanWaitAt), Vanish: h.lossShare, Unit: h.unitTime, Spare: h.virtualTime, Turns: h.rotation}
 	m.Random, _ = h.pcg.MarshalBinary()
-	for _, at := range h.taken {
+	for _, at := range h.recentArrivals {
 		m.Taken = append(m.Taken, now-at)
 	}
-	for _, at := range h.extra {
+	for _, at := range h.recentRetries {
 		m.Extra = append(m.Extra, now-at)
 	}
-	for _, n := range h.order {
-		x := NodeMemory{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.halved[0]), age(n.halved[1])}, Missing: n.missing,
-			Rest: age(n.restTo), Latency: n.latency, Last: age(n.last), Sent: age(n.sentAt), Wait: n.wait, WaitAge: age(n.waitAt),
-			Down: n.down, DownAge: age(n.downAt), Revived: age(n.revived), Failing: n.failing, SentLog: pasts(n.sent),
-			Served: pasts(n.served)}
+	for _, n := range h.sortedNodes {
+		x := NodeMemory{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.reducedAt[0]), age(n.reducedAt[1])}, Missing: n.missingAnswers,
+			Rest: age(n.backoffUntil), Latency: n.latency, Last: age(n.lastActive), Sent: age(n.sentAt), Wait: n.wait, WaitAge: age(n.waitAt),
+			Down: n.connectBackoff, DownAge: age(n.connectFailedAt), Revived: age(n.presumedStart), Failing: n.failureShare, SentLog: pasts(n.sentLog),
+			Served: pasts(n.servedLog)}
 		x.Node.Started = age(n.Started)
 		m.Nodes = append(m.Nodes, x)
 	}
-	for _, v := range h.ring {
+	for _, v := range h.roundRobin {
 		if h.started && v.plan.Limit > 0 {
-			h.settle(v)
+			h.updateTokens(v)
 		}
-		plan := slices.IndexFunc(h.set.Plans, func(p Plan) bool { return p == *v.plan })
+		plan := slices.IndexFunc(h.settings.Plans, func(p Plan) bool { return p == *v.plan })
 		m.Volumes = append(m.Volumes, VolumeMemory{ID: v.id, Plan: plan, Attached: v.attached, Balance: v.balance,
-			Credited: age(v.credited), Share: v.share, Last: age(v.last), Store: v.store, Stored: age(v.stored), Known: true,
-			OnTheWay: v.pending + v.straying, Own: past(v.own), Others: past(v.others), Total: v.total, TotalAge: age(v.totalAt)})
+			Credited: age(v.creditedAt), Share: v.virtualTime, Last: age(v.lastUsed), Store: v.tokens, Stored: age(v.tokensAt), Known: true,
+			OnTheWay: v.pending + v.abandoned, Own: past(v.ownRate), Others: past(v.otherRate), Total: v.totalRate, TotalAge: age(v.totalRateAt)})
 	}
 	return m
 }
@@ -171,13 +171,13 @@
 		}
 		return now - age
 	}
-	back := func(p Past) rate {
+	back := func(p Past) decayingSum {
 		if p.Age >= Never/2 {
-			return rate{}
+			return decayingSum{}
 		}
-		return rate{p.Units, now - p.Age}
+		return decayingSum{p.Units, now - p.Age}
 	}
-	backs := func(l []Past) (out log) {
+	backs := func(l []Past) (out unitLog) {
 		for _, p := range l {
 			out.add(now-p.Age, p.Units)
 		}
@@ -190,44 +190,44 @@
 		}
 		h.pcg, h.rng = pcg, rand.New(pcg)
 	}
-	h.waits, h.waitsAt, h.vanish, h.unit, h.spare, h.turns = m.Waits, at(m.WaitsAge), m.Vanish, m.Unit, m.Spare, m.Turns
+	h.meanWait, h.meanWaitAt, h.lossShare, h.unitTime, h.virtualTime, h.rotation = m.Waits, at(m.WaitsAge), m.Vanish, m.Unit, m.Spare, m.Turns
 	for _, age := range m.Taken {
-		h.taken = append(h.taken, now-age)
+		h.recentArrivals = append(h.recentArrivals, now-age)
 	}
 	for _, age := range m.Extra {
-		h.extra = append(h.extra, now-age)
+		h.recentRetries = append(h.recentRetries, now-age)
 	}
 	for _, x := range m.Nodes {
-		n := &node{Node: x.Node, window: x.Window, halved: [2]Micros{at(x.Halved[0]), at(x.Halved[1])}, missing: x.Missing,
-			restTo: at(x.Rest), latency: x.Latency, last: at(x.Last), sentAt: at(x.Sent), wait: x.Wait, waitAt: at(x.WaitAge),
-			down: x.Down, downAt: at(x.DownAge), revived: at(x.Revived), failing: x.Failing, sent: backs(x.SentLog),
-			served: backs(x.Served)}
+		n := &node{Node: x.Node, window: x.Window, reducedAt: [2]Micros{at(x.Halved[0]), at(x.Halved[1])}, missingAnswers: x.Missing,
+			backoffUntil: at(x.Rest), latency: x.Latency, lastActive: at(x.Last), sentAt: at(x.Sent), wait: x.Wait, waitAt: at(x.WaitAge),
+			connectBackoff: x.Down, connectFailedAt: at(x.DownAge), presumedStart: at(x.Revived), failureShare: x.Failing, sentLog: backs(x.SentLog),
+			servedLog: backs(x.Served)}
 		n.Started, n.State = at(x.Node.Started), Gone
 		if h.nodes[n.ID] == nil {
 			h.nodes[n.ID] = n
-			h.order = append(h.order, n)
+			h.sortedNodes = append(h.sortedNodes, n)
 		}
 	}
-	slices.SortFunc(h.order, func(a, b *node) int { return cmp.Compare(a.ID, b.ID) })
-	for _, n := range h.order {
-		h.cells[n.Cell] = append(h.cells[n.Cell], n)
+	slices.SortFunc(h.sortedNodes, func(a, b *node) int { return cmp.Compare(a.ID, b.ID) })
+	for _, n := range h.sortedNodes {
+		h.nodesByCell[n.Cell] = append(h.nodesByCell[n.Cell], n)
 	}
 	for _, x := range m.Volumes {
-		if x.Plan < 0 || x.Plan >= len(h.set.Plans) || h.volumes[x.ID] != nil || x.Attached < 1 {
+		if x.Plan < 0 || x.Plan >= len(h.settings.Plans) || h.volumes[x.ID] != nil || x.Attached < 1 {
 			continue
 		}
-		plan := &h.set.Plans[x.Plan]
-		v := &volume{id: x.ID, plan: plan, attached: x.Attached, balance: x.Balance, credited: at(x.Credited), share: x.Share,
-			last: at(x.Last), own: back(x.Own), others: back(x.Others), total: x.Total, totalAt: at(x.TotalAge)}
+		plan := &h.settings.Plans[x.Plan]
+		v := &volume{id: x.ID, plan: plan, attached: x.Attached, balance: x.Balance, creditedAt: at(x.Credited), virtualTime: x.Share,
+			lastUsed: at(x.Last), ownRate: back(x.Own), otherRate: back(x.Others), totalRate: x.Total, totalRateAt: at(x.TotalAge)}
 		// What has been drawn since is not known: as at a start without memory, the slice is at its lowest.
-		if v.store, v.stored = -plan.LimitSlack/x.Attached, now; x.Known {
-			v.store, v.stored = min(x.Store, plan.LimitBurst/x.Attached), at(x.Stored)
+		if v.tokens, v.tokensAt = -plan.LimitSlack/x.Attached, now; x.Known {
+			v.tokens, v.tokensAt = min(x.Store, plan.LimitBurst/x.Attached), at(x.Stored)
 		}
 		if x.OnTheWay > 0 {
-			h.stray(v, x.OnTheWay, now)
+			h.abandon(v, x.OnTheWay, now)
 		}
 		h.volumes[x.ID] = v
-		h.ring = append(h.ring, v)
+		h.roundRobin = append(h.roundRobin, v)
 	}
 	return nil
 }
--- a/logic/retrybudget.go
+++ b/logic/retrybudget.go
@@ -4,15 +4,15 @@
 
 // budgetAllows keeps further attempts within the budget over every window.
 func (h *Host) budgetAllows() bool {
-	rules := &h.set.Rules
+	rules := &h.settings.Rules
 	if rules.BudgetWindow <= 0 {
 		return true
 	}
-	for len(h.taken) > 0 && h.now-h.taken[0] >= rules.BudgetWindow {
-		h.taken = h.taken[1:]
+	for len(h.recentArrivals) > 0 && h.now-h.recentArrivals[0] >= rules.BudgetWindow {
+		h.recentArrivals = h.recentArrivals[1:]
 	}
-	for len(h.extra) > 0 && h.now-h.extra[0] > rules.BudgetWindow {
-		h.extra = h.extra[1:]
+	for len(h.recentRetries) > 0 && h.now-h.recentRetries[0] > rules.BudgetWindow {
+		h.recentRetries = h.recentRetries[1:]
 	}
-	return float64(len(h.extra)+1) <= rules.BudgetFree+rules.BudgetPerTake*float64(len(h.taken))
+	return float64(len(h.recentRetries)+1) <= rules.BudgetFree+rules.BudgetPerTake*float64(len(h.recentArrivals))
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -533,11 +533,11 @@
 			if b == nil || number < restarts && (now-start)%(3*sec) == 250*ms {
 				b = newBench(t, s, 1)
 				b.now = now + skew
-				b.h.began = b.now
+				b.h.startedAt = b.now
 				b.step(NodeList{Kind: ListFull, Nodes: []Node{{ID: 1, State: Ready, Started: start}}})
 			}
 			b.now = now + skew
-			n := b.h.order[0]
+			n := b.h.sortedNodes[0]
 			n.window, n.wait = [2]float64{2, 2}, 0
 			a := b.ask(0, 4, units(2))
 			for range sends(b.step(a)) {
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -10,21 +10,21 @@
 	"math"
 )
 
-// turnLength is the length of a turn in overload times: longer ones find more requests waiting, shorter ones
+// slotLength is the length of a turn in overload times: longer ones find more requests waiting, shorter ones
 // go round faster.
-const turnLength = 1.5
+const slotLength = 1.5
 
 // slowStartAllows keeps this host's share of what a cold node bears, over every overload window.
 func (h *Host) slowStartAllows(n *node, r *request) bool {
-	rules := &h.set.Rules
+	rules := &h.settings.Rules
 	began := h.now - rules.OverloadTime
-	sent, served := n.sent.since(began)+n.unanswered(began), n.served.since(began)
+	sent, served := n.sentLog.sumSince(began)+n.unitsInFlightBefore(began), n.servedLog.sumSince(began)
 	part, _, _ := h.slowStartShare(n, h.now)
 	// Exception: what the node has just served for each host it can do for all of them at once, so half
 	// of the multiple that pushes it over may go by that. Where calls are counted, as much as was served:
 	// with twice that a host doubled its sends in each answer's time while a run of cheap requests lasted.
 	grow := rules.TipMultiple / 2
-	if h.set.ColdByCount {
+	if h.settings.ColdByCount {
 		grow = min(grow/2, 1)
 	}
 	return sent+r.units <= max(part, grow*served)
@@ -33,10 +33,10 @@
 // slowStartShare is what this host may send a node within an overload time that ends at the given time,
 // without bound once it is warm; and when it may next send there, and when without bound.
 func (h *Host) slowStartShare(n *node, at Micros) (part float64, next, warm Micros) {
-	rules := &h.set.Rules
+	rules := &h.settings.Rules
 	started := n.Started
-	if n.revived > started && at < n.revived+doubt {
-		started = n.revived
+	if n.presumedStart > started && at < n.presumedStart+presumedStartLifetime {
+		started = n.presumedStart
 	}
 	if warm = started + rules.ColdTime; started <= 0 || rules.ColdTime <= 0 || at >= warm {
 		return math.Inf(1), at, at
@@ -48,27 +48,27 @@
 		return rules.ColdUnits * (1 + max(1/cmp.Or(rules.ColdFrom, 1)-1, 0)*age)
 	}
 	// What an earlier process of this host has sent it is not known: it may have been a whole part.
-	if known := h.began + rules.OverloadTime; started < h.began && at < known {
+	if known := h.startedAt + rules.OverloadTime; started < h.startedAt && at < known {
 		return 0, min(known, warm), warm
 	}
-	if part = grown(at) / float64(h.set.Hosts); part < max(h.set.UnitMean, 1) {
-		slot := max(Micros(turnLength*float64(rules.OverloadTime)), 1)
-		part, next = h.turn(n, grown(at/slot*slot), slot, at)
+	if part = grown(at) / float64(h.settings.Hosts); part < max(h.settings.UnitMean, 1) {
+		slot := max(Micros(slotLength*float64(rules.OverloadTime)), 1)
+		part, next = h.slotShare(n, grown(at/slot*slot), slot, at)
 		return part, min(next, warm), warm
 	}
 	return part, warm, warm
 }
 
-// turn is what this host may send a cold node in the slot of the given time, and when its next slot is.
+// slotShare is what this host may send a cold node in the slot of the given time, and when its next slot is.
 // Exception: where the even share is under one request and nothing could ever go, slots of turnLength
 // overload times go round the hosts by number and node. Half of the units goes in a slot, as a window meets
-// two, also with clocks half an overload time apart. A host that began within the slot may have used its turn
+// two, also with clocks half an overload time apart. A host that began within the slot may have used its slotShare
 // before.
-func (h *Host) turn(n *node, units float64, slot, at Micros) (float64, Micros) {
-	takers := max(1, int(units/2/max(h.set.UnitMean, 1)))
-	first := (int(n.ID%65536) + int(at/slot)*takers) % h.set.Hosts
-	place := (h.set.Number - first + h.set.Hosts) % h.set.Hosts
-	if place >= takers || at/slot <= h.began/slot {
+func (h *Host) slotShare(n *node, units float64, slot, at Micros) (float64, Micros) {
+	takers := max(1, int(units/2/max(h.settings.UnitMean, 1)))
+	first := (int(n.ID%65536) + int(at/slot)*takers) % h.settings.Hosts
+	place := (h.settings.Number - first + h.settings.Hosts) % h.settings.Hosts
+	if place >= takers || at/slot <= h.startedAt/slot {
 		return 0, (at/slot + max(Micros(place/takers), 1)) * slot
 	}
 	return units / 2 / float64(takers), at
