--- a/logic/api.go
+++ b/logic/api.go
@@ -1,33 +1,32 @@
-// Package logic decides what one host (initiator) of a shared disk pool does with the requests it
-// takes: which leaves next, to which storage node, when it is tried again and when it is refused.
-// It holds no clock, goroutine or I/O: the caller hands events to [Host.Step] and carries out the
-// actions that come back. This file is the interface; logic.go, limit.go, slowstart.go and
-// retrybudget.go hold the decisions.
+// Package logic schedules the requests of one host (initiator) of a shared storage pool: which request is sent
+// next, to which storage node, when it is retried and when it is refused. It has no clock, goroutines or I/O:
+// the caller passes events to [Host.Step] and carries out the returned actions. This file is the interface;
+// logic.go, limit.go, slowstart.go and retrybudget.go hold the decisions.
 package logic
 
-// Micros is a point on the caller's clock or a length of time, in microseconds. The clock may start
-// anywhere but only goes forward.
+// Micros is a point on the caller's clock or a duration, in microseconds. The clock may start anywhere and
+// never goes backwards.
 type Micros int64
 
-// RequestID names a request; an id is never used twice.
+// RequestID identifies a request; an id is never used twice.
 type RequestID uint64
 
-// NodeID names a storage node; it stays the same when the node's process restarts.
+// NodeID identifies a storage node; it stays the same when the node's process restarts.
 type NodeID uint32
 
-// VolumeID names a volume.
+// VolumeID identifies a volume.
 type VolumeID uint64
 
-// Repeat says whether a class may run more than once.
+// Repeat states whether requests of a class may run more than once.
 type Repeat uint8
 
 const (
-	Retryable Repeat = iota // any number of runs does no harm
-	Dedup                   // nodes of one group drop a repeat while they remember it
+	Retryable Repeat = iota // may run any number of times
+	Dedup                   // the nodes of one group drop a repeat within the repeat window
 	Fragile                 // must never run twice
 )
 
-// Group says which nodes drop each other's repeats of a Dedup request.
+// Group states which nodes recognize each other's repeats of a Dedup request.
 type Group uint8
 
 const (
@@ -36,74 +35,74 @@
 	GroupCell              // the nodes of one shard
 )
 
-// Class is a kind of request.
+// Class describes the terms of service of a kind of request.
 type Class struct {
-	Aim          Micros // an answer within this earns its full worth
-	AimPerWork   bool   // the aim grows with a request's work; the deadline bounds it
-	Deadline     Micros // the client's patience over all its tries
+	Aim          Micros // an answer within this time earns its full worth
+	AimPerWork   bool   // the aim grows with the request's work, up to the deadline
+	Deadline     Micros // how long a client waits, over all its attempts
 	Worth        float64
-	LateShare    float64 // part of the worth left to an answer past the aim
+	LateShare    float64 // share of the worth that an answer after the aim earns
 	Repeat       Repeat
-	Group        Group  // Dedup: who drops repeats
-	RepeatWindow Micros // Dedup: for how long, from the send of the first attempt that may have run
-	InOrder      bool   // requests with one key run one at a time, in the order taken
+	Group        Group  // Dedup: which nodes drop repeats
+	RepeatWindow Micros // Dedup: for how long after the send of the first attempt that may have run
+	InOrder      bool   // requests with the same key run one at a time, in the order of arrival
 	Stream       bool   // the answer is a stream
 	Writes       bool
 }
 
-// Plan is what a volume has bought; its figures hold over all hosts and nodes together.
+// Plan is the service a volume has bought; its values apply to all hosts and nodes together.
 type Plan struct {
-	Rate       float64 // units a second the volume is sized for
-	Reserve    float64 // units a second that are reserved; 0: none
-	Weight     float64 // share of what is left beyond the reserves
+	Rate       float64 // units a second that the volume is sized for
+	Reserve    float64 // reserved units a second; 0: none
+	Weight     float64 // weight in sharing the capacity beyond the reservations
 	Price      float64
-	Limit      float64 // units a second that must not be passed; 0: no limit
-	LimitBurst float64 // most units the limit's store holds
-	LimitSlack float64 // units the store may go below zero
+	Limit      float64 // units a second that must not be exceeded; 0: no limit
+	LimitBurst float64 // capacity of the limit's token bucket, in units
+	LimitSlack float64 // units by which the bucket may go below zero
 }
 
-// Rules are the figures of the rules a host must keep. A zero means that the rule does not apply.
+// Rules are the parameters of the rules a host must keep. A zero means that the rule does not apply.
 type Rules struct {
-	AnswerSlack   Micros  // a final answer may come this much after the deadline
-	StopSending   Micros  // grace before sends to a draining or gone node must have ended
-	AskWithin     Micros  // subscribe mode: longest time without a subscription or an ask
-	ColdFrom      float64 // part of its capacity a node starts with, at least
-	ColdTime      Micros  // a node is warm after this, at the latest
-	ColdUnits     float64 // units within OverloadTime a cold node always bears, from all hosts together
+	AnswerSlack   Micros  // a final answer may be this late after the deadline
+	StopSending   Micros  // time within which sends to a draining or gone node must end
+	AskWithin     Micros  // subscribe mode: longest time without a subscription or an attempt to get one
+	ColdFrom      float64 // least share of its capacity that a node starts with
+	ColdTime      Micros  // a node is warm after this time at the latest
+	ColdUnits     float64 // units within OverloadTime that a cold node always tolerates, from all hosts together
 	OverloadTime  Micros
-	TipMultiple   float64 // more than so many times its present capacity for OverloadTime pushes it over
-	OrderPause    Micros  // rest of a key after an attempt that may still run
-	BudgetWindow  Micros  // further attempts are counted over this time; 0: no budget
-	BudgetFree    float64 // further attempts always allowed in the window
-	BudgetPerTake float64 // and so many more for each request taken in it
+	TipMultiple   float64 // more than this multiple of its present capacity for OverloadTime overloads it
+	OrderPause    Micros  // pause of a key after an attempt that may still be running
+	BudgetWindow  Micros  // window of the retry budget; 0: no budget
+	BudgetFree    float64 // retries always allowed in the window
+	BudgetPerTake float64 // additional retries for each request that arrives in the window
 }
 
-// Settings is what a host is told when it starts.
+// Settings is the configuration of a host.
 type Settings struct {
-	Hosts          int // hosts that share the pool, this one included
+	Hosts          int // hosts that share the pool, including this one
 	Number         int // this host's number among them, from 0
 	Zone           int // zone of this host
 	Classes        []Class
 	Plans          []Plan
 	Rules          Rules
 	Tick           Micros  // shortest time between two Steps
-	Subscribe      bool    // the node list comes only when asked for
-	HeldPart       float64 // part of its time after which a request that never left is better refused; 0: all of it
+	Subscribe      bool    // the node list is delivered only on request
+	HeldPart       float64 // share of its time after which a request that was never sent is refused; 0: all of it
 	MaxAttempts    int     // attempts allowed for one request; 0: no bound
-	SecondCopies   bool    // two attempts of a request may be out at once
-	DrawnAtNode    bool    // a request draws on its limit when it reaches a node, not with its Send
-	ColdByCount    bool    // what a cold node bears is counted in calls, whatever it can do with them
+	SecondCopies   bool    // two attempts of a request may be in flight at once
+	DrawnAtNode    bool    // a request draws on its limit when it reaches a node, not at its Send
+	ColdByCount    bool    // what a cold node tolerates is counted in calls, regardless of the work they cause
 	MayCancel      bool
 	MayProbe       bool
-	CoolDowns      bool    // clients are told when to come back
-	MaxCoolDown    Micros  // the longest wait a client follows
-	UnitMean       float64 // mean units of a request; 0: not told
-	UnitTop        float64 // most units of a request; 0: not told
-	UsePeriod      Micros  // period of the use meter in answers; 0: no meter
-	TellsElsewhere bool    // answers tell what a shard served through other hosts
+	CoolDowns      bool    // refusals advise clients when to come back
+	MaxCoolDown    Micros  // the longest wait that clients comply with
+	UnitMean       float64 // mean units of a request; 0: not known
+	UnitTop        float64 // largest units of a request; 0: not known
+	UsePeriod      Micros  // period of the usage meter in answers; 0: no meter
+	TellsElsewhere bool    // answers report what a shard served through other hosts
 }
 
-// NodeState is a node's place in its life.
+// NodeState is the state of a node in its life cycle.
 type NodeState uint8
 
 const (
@@ -116,57 +115,57 @@
 type Node struct {
 	ID      NodeID
 	Zone    int
-	Cell    int    // shard the node holds; a replacement holds the same
-	Started Micros // last start of its process; 0: long ago
+	Cell    int    // shard that the node holds; a replacement holds the same one
+	Started Micros // latest start of its process; 0: long ago
 	Rating  float64
 	State   NodeState
 }
 
-// Load is what a node reports of itself; a value below zero was not reported.
+// Load is what a node reports about itself; a negative value was not reported.
 type Load struct {
 	Holds   float64 // requests at the node
-	Waits   float64 // of these, those that wait
-	Busy    float64 // part of its CPU in use
+	Waits   float64 // requests at the node that wait
+	Busy    float64 // share of its CPU in use
 	Service float64 // recent service time in milliseconds, without waiting
 }
 
-// NoLoad is the Load of an answer that carried no report.
+// NoLoad is the Load of an answer without a load report.
 var NoLoad = Load{-1, -1, -1, -1}
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
 const (
 	OK            Outcome = iota // served
 	Failed                       // the node reported an error; it may have run
-	Full                         // turned away unseen; never ran
-	TimedOut                     // no answer in time; may have run or run on
+	Full                         // rejected before it was read; never ran
+	TimedOut                     // no answer in time; may have run or still be running
 	ConnectFailed                // no connection; never ran
 	Reset                        // the connection broke; may have run
-	Cancelled                    // called off; may have run
+	Cancelled                    // aborted; may have run
 	Moot                         // not sent; never ran
 )
 
-// Event is something a host learns. The events of one Step happen at the same time, in their order.
+// Event is an input of a host. The events of one Step happen at the same time, in the given order.
 type Event interface{ event() }
 
-// Arrival is a request that the host takes and now owes a final answer.
+// Arrival is a new request, to which the host must give a final answer.
 type Arrival struct {
 	Request  RequestID
 	Class    int
-	Cell     int // shard that holds the data; below zero: a new object, any node may take it
+	Cell     int // shard that holds the data; negative: a new object, which any node may take
 	Key      uint64
 	Volume   VolumeID
 	Plan     int
-	Attached float64 // hosts through which the volume's requests come
+	Attached float64 // number of hosts through which the volume's requests arrive
 	Units    float64
-	DropDead Micros // when the client stops waiting for this try
-	Tried    int    // attempts made before under other ids, at cells that hold the same
-	Home     bool   // a new object: only to nodes of this host's zone
-	Once     bool   // its caller has another place: given up when one attempt fails or the aim is missed here
+	DropDead Micros // when the client stops waiting for this attempt of its own
+	Tried    int    // attempts made earlier under other ids, at cells with the same data
+	Home     bool   // a new object goes only to nodes of this host's zone
+	Once     bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
 }
 
-// StreamStarted says that an answer has begun to stream: the request has no deadline any more.
+// StreamStarted reports that an answer has begun to stream: the request no longer has a deadline.
 type StreamStarted struct {
 	Request RequestID
 	Attempt int
@@ -179,19 +178,19 @@
 	Node      NodeID
 	Outcome   Outcome
 	Took      Micros
-	Settled   bool // the request is over; otherwise the host still owes an answer
-	Used      int  // 1 + percent of the plan's rate served for the volume in a past period; 0: not told
-	Elsewhere int  // units the shard served for the volume through other hosts since its last answer here
+	Settled   bool // the request is finished; otherwise the host must still give an answer
+	Used      int  // 1 + percent of the plan's rate served for the volume in a past period; 0: not reported
+	Elsewhere int  // units that the shard served for the volume through other hosts since its last answer here
 	Load      Load
 }
 
-// ClientGone says that the client has left; no answer is owed any more.
+// ClientGone reports that the client has left; no answer is needed any more.
 type ClientGone struct{ Request RequestID }
 
-// Ending says that the host ends: whatever it holds must have its final answer by then.
+// Ending announces the shutdown of the host: every request it holds must have its final answer by then.
 type Ending struct{ By Micros }
 
-// TimerFired is the end of a Wake.
+// TimerFired reports that the timer of a Wake has fired.
 type TimerFired struct{ Token uint32 }
 
 // ProbeEnded is the result of a Probe.
@@ -202,20 +201,20 @@
 	Load    Load
 }
 
-// ListKind says what a NodeList carries.
+// ListKind states what a NodeList contains.
 type ListKind uint8
 
 const (
-	ListCached ListKind = iota // the whole list as last known; may be old
+	ListCached ListKind = iota // the whole list as last known; may be out of date
 	ListFull                   // the whole list
 	ListDelta                  // changed entries only
-	ListFailed                 // an ask failed or the subscription broke
+	ListFailed                 // a fetch failed or the subscription ended; no entries
 )
 
-// RoomChanged says how many requests may be owed an answer here from now on; 0, as at the start: no bound.
+// RoomChanged sets how many requests may be unanswered at this host; 0, the initial value, means no bound.
 type RoomChanged struct{ Room int }
 
-// NodeList is news of the nodes.
+// NodeList reports the nodes or changes of them.
 type NodeList struct {
 	Kind  ListKind
 	Nodes []Node
@@ -231,30 +230,30 @@
 func (RoomChanged) event()   {}
 func (NodeList) event()      {}
 
-// Action is something the caller must do. Actions happen at the Step's time, in their order.
+// Action is something the caller must do. Actions happen at the time of the Step, in the given order.
 type Action interface{ action() }
 
 // Send starts an attempt.
 type Send struct {
 	Request RequestID
 	Node    NodeID
-	StopAt  Micros // give up then; 0: when the client stops waiting
-	By      Micros // it must leave by then, or its node may not know the first one any more; 0: no bound
+	StopAt  Micros // when to time the attempt out; 0: when the client stops waiting
+	By      Micros // it must be sent by then, or its node may no longer recognize the repeat; 0: no bound
 }
 
-// Abort calls an attempt off.
+// Abort cancels an attempt.
 type Abort struct {
 	Request RequestID
 	Attempt int
 }
 
-// Deny is a final answer: refused, and a retry does no harm.
+// Deny is a final answer: the request was refused and a retry does no harm.
 type Deny struct {
 	Request  RequestID
-	CoolDown Micros // how long the client should wait before it comes back; 0: no advice
+	CoolDown Micros // how long the client should wait before it retries; 0: no advice
 }
 
-// Surrender is a final answer: failed, with no promise.
+// Surrender is a final answer: the request failed and may have had an effect.
 type Surrender struct{ Request RequestID }
 
 // Wake asks for a TimerFired.
@@ -272,7 +271,7 @@
 // Fetch asks for the whole node list once.
 type Fetch struct{}
 
-// Note is a line for the operators' log.
+// Note is a message for the operators' log.
 type Note struct{ Text string }
 
 func (Send) action()      {}
--- a/logic/inspect.go
+++ b/logic/inspect.go
@@ -1,16 +1,15 @@
 package logic
 
-// What a host tells of its state to traces and tests. Nothing is decided here.
+// Access to a host's state for traces and tests. This file takes no decisions.
 
-// Slice is this host's part of a volume's limit at one moment, in units.
+// Slice is this host's share of a volume's limit at one moment, in units.
 type Slice struct {
-	Hosts   float64 // hosts among which the limit is divided
-	Store   float64 // what may still be sent, down to the slack below zero
+	Hosts   float64 // number of hosts that share the limit
+	Store   float64 // what the share holds; it may go below zero by the slack
 	Pending float64 // charged, and not known to have reached a node
 }
 
-// Slice gives this host's part of a volume's limit; ok is false for a volume that is not known or has no
-// limit.
+// Slice returns this host's share of a volume's limit; ok is false if the volume is not known or has no limit.
 func (h *Host) Slice(id VolumeID) (s Slice, ok bool) {
 	v := h.volumes[id]
 	if v == nil || v.plan.Limit <= 0 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,11 +1,12 @@
 package logic
 
-// The interface of this module (settings, events, actions) is in logic/api.go. Decisions are here and, for
-// the rules on single figures, in limit.go (rate limits), slowstart.go (cold nodes) and retrybudget.go.
+// The interface of this module (settings, events, actions) is in logic/api.go. This file holds the scheduling
+// decisions; limit.go (rate limits), slowstart.go (cold nodes) and retrybudget.go hold the rules on single
+// quantities.
 //
-// The mechanism is Gage's (docs/design.md): a queue per volume with a balance in units, visited in
-// weighted round-robin; what room is left is shared by reservation; a window bounds each node. Read on
-// in this order: constants, state, events, cycle, node window.
+// The mechanism is Gage's (docs/design.md): each volume has a queue with a balance in units, which is visited
+// in weighted round-robin; remaining capacity is shared by reservation; a window bounds the requests in
+// flight at each node. The order of this file: constants, events, cycle, node window.
 
 import (
 	"cmp"
@@ -17,64 +18,71 @@
 const (
 	ms, sec Micros = 1000, 1000 * 1000
 
-	cycle = 10 * ms // Gage's polling period; batches that change something also run one
-	// maxBalanceSeconds caps a queue's balance, in seconds of its credit, with one largest request as the least.
+	cycle = 10 * ms // Gage's polling period; every Step runs a cycle too
+	// maxBalanceSeconds caps a queue's balance, in seconds of its credit. The cap is never below one request
+	// of the largest size.
 	maxBalanceSeconds = 0.2
-	stallThreshold    = 10 * cycle                // a timer that comes so late says that the host stood still
-	answerMargin      = cycle + 5*ms              // a held request has its final answer so long before its dropDead
-	minTimeShare      = 0.5                       // part of its usual time a request takes at least, if work is saved
-	never             = Micros(math.MaxInt64 / 4) // later than any clock, with room for sums
+	stallThreshold    = 10 * cycle                // a timer this late means that the host stalled
+	answerMargin      = cycle + 5*ms              // a held request is answered this long before its deadline
+	minTimeShare      = 0.5                       // if work is saved, a request takes this share of its time
+	never             = Micros(math.MaxInt64 / 4) // later than any clock; sums do not overflow
 
-	// Each node has a window for each pass: the first pass holds what is reserved, and goes on until the
-	// node's wait eats into the aims; the second takes only room that is left, so it shuts long before.
-	// maxHostWindow bounds both, or where hosts are few their part of mostTotal. A window under one means one
-	// request out and a pause after its send.
-	maxHostWindow         = 2.0
-	maxFleetWindow        = 8.0
-	minFleetWindow        = 3.0
-	secondPassFleetWindow = 40.0 // what all hosts together have out at a node from the second pass at the start: a few
-	windowGrowth          = 1.0  // growth of a window under one with each good answer, as a part of it
-	// A request that waited at the node for more than this part of the shortest aim shuts the window of the
-	// first pass, of the second. A node's queue is one for all classes, so the shortest aim counts.
+	// Each node has a window for each pass. The first pass sends reserved requests until the wait at the node
+	// endangers the aims; the second only uses remaining capacity, so its window shrinks much earlier. Both
+	// are bounded by maxPerHost, or with few hosts by this host's share of maxPerFleet if that is larger. A
+	// window under one allows one request in flight and imposes a pause after its send.
+	maxPerHost         = 2.0
+	maxPerFleet        = 8.0
+	minPerFleet        = 3.0
+	secondPassPerFleet = 40.0 // initial second-pass window of a node, summed over all hosts
+	windowGrowth       = 1.0  // relative growth of a window under one with each good answer
+	// A request that waited at the node for more than this share of the shortest aim shrinks the window of
+	// the pass. The shortest aim counts because a node has one queue for all classes.
 	firstPassWaitShare  = 0.5
 	secondPassWaitShare = 0.2
-	// waitInfoLifetime is how long an answer tells of its node's wait; after it a shut window with nothing out
-	// doubles in each such time again, up to where it started.
+	// waitInfoLifetime is how long an answer remains evidence of the wait at its node. After that, a reduced
+	// window with nothing in flight doubles once per waitInfoLifetime, up to its initial size.
 	waitInfoLifetime = 1 * sec
-	smoothing        = 0.2   // weight of a new sample in a node's smoothed figures
-	minSuccessShare  = 0.01  // a failing node's load counts the attempts that one success takes, up to 1/failFloor
-	maxUnitTimeRise  = 0.125 // bounds what a time over twice the usual counts: it is a wait for the most part
-	// Attempts that time out between two quick answers of their node are lost ones; more than maxMissingAnswers
-	// in a row are a node that hung. vanishing is the smoothed share of lost ones among those that
-	// waited for long from which a host takes it that answers vanish.
+	smoothing        = 0.2 // weight of a new sample in smoothed figures
+	// The load of a failing node is multiplied by the attempts that one success takes, up to
+	// 1/minSuccessShare.
+	minSuccessShare = 0.01
+	maxUnitTimeRise = 0.125 // caps a sample over twice the mean unit time, as it is mostly waiting
+	// Attempts that time out between two quick answers of their node are taken for lost; more than
+	// maxMissingAnswers in a row mean that the node hung. lossThreshold is the smoothed share of lost
+	// attempts, among those that waited for long, above which the host assumes that answers get lost.
 	maxMissingAnswers = 2
-	// One that a later request has passed is sent again from doubtful on.
-	lossThreshold          = 0.4
+	lossThreshold     = 0.4
+	// An attempt that a later one has overtaken is sent again above overtakenLossThreshold.
 	overtakenLossThreshold = 0.3
-	// lateBackoff times the hosts is how long a node must have had nothing of this host before a request that
-	// can no longer make its aim may go there, so that late ones of all hosts add up to few; vainRest times
-	// the hosts how long at most a node is left alone after an attempt in vain, with the same purpose.
+	// A request that can no longer meet its aim goes only to a node with which this host had no exchange for
+	// lateBackoff times the number of hosts, so that late requests of all hosts stay few. timeoutBackoff
+	// times the number of hosts is the longest pause of a node after an unsuccessful attempt, for the same
+	// reason.
 	lateBackoff    = 250 * ms
 	timeoutBackoff = 50 * ms
 
-	retryDelay = 30 * ms // the wait before a further attempt; it doubles with each
-	// A node that took no connection is left alone for minConnectBackoff, doubling to downMost, before one tries it.
+	retryDelay = 30 * ms // mean delay before the first retry; it doubles with each retry
+	// A node that accepted no connection is tried again, by one request, after minConnectBackoff, which
+	// doubles up to maxConnectBackoff.
 	minConnectBackoff = 100 * ms
 	maxConnectBackoff = 1600 * ms
-	// presumedStartLifetime is how long a node that took no connections and then answers is treated as started at that
-	// moment, unless the list says better.
+	// presumedStartLifetime is how long a node that accepted no connections and then answers is treated as
+	// restarted at the last failure, unless the node list names a later start.
 	presumedStartLifetime = 5 * sec
-	// rateSpan smooths what others serve; meterOld is the age at which such news counts as none.
+	// rateSpan is the decay time of rates of service; a reported total older than maxRateAge is ignored.
 	rateSpan   = 1 * sec
 	maxRateAge = 3 * sec
-	// maxFleetGrowth is how many times the hosts of the settings a request may name: the fleet may have grown
-	// since they were read. More makes no sense.
+	// maxFleetGrowth bounds the number of attached hosts that a request may name, as a multiple of the hosts
+	// in the settings: the fleet may have grown since the settings were read. Larger numbers are not
+	// plausible.
 	maxFleetGrowth        = 16
-	maxVolumeIdle         = 30 * sec // a volume that is idle for so long loses its entry
-	initialSubscribeDelay = 500 * ms // the first wait before a failed ask for the node list is repeated; it doubles
+	maxVolumeIdle         = 30 * sec // the entry of a volume idle for longer is dropped
+	initialSubscribeDelay = 500 * ms // delay of the first new subscription; it doubles
 )
 
-// New starts a host, or gives an error that names the setting that cannot be right.
+// New returns a host with the given settings, or an error that names the invalid setting. The seed determines
+// the host's random numbers.
 func New(s Settings, seed uint64) (*Host, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -89,7 +97,7 @@
 	}, nil
 }
 
-// Step takes the events of one moment and appends the actions that answer them.
+// Step processes the events of one moment and appends the resulting actions to actions.
 func (h *Host) Step(now Micros, events []Event, actions []Action) []Action {
 	if !h.started {
 		h.started, h.startedAt = true, now
@@ -99,8 +107,9 @@
 	}
 	h.previousStep, h.now, h.actions = h.now, max(now, h.now), actions
 	clear(h.earliestNewObject)
-	// This host's own timer comes much too late: the host stood still, so the times of what was out tell
-	// nothing of the nodes. Also covers a suspended machine; harm: one round trip less is learned from.
+	// If the host's own timer fires much too late, the host stalled, and the times of attempts in flight say
+	// nothing about the nodes. This also covers a suspended machine. Harm: nothing is learned from these
+	// attempts.
 	for _, n := range h.sortedNodes {
 		for _, a := range n.inFlight {
 			a.duringStall = a.duringStall || h.wakeAt > 0 && h.now-h.wakeAt > stallThreshold
@@ -122,7 +131,7 @@
 				h.finish(r)
 			}
 		case Ending:
-			// The end goes before any client's patience: who would wait for longer would find nobody.
+			// The shutdown bounds every deadline: no process would be there to answer later.
 			for _, r := range h.requests {
 				r.deadline, r.aimAt = min(r.deadline, e.By), min(r.aimAt, e.By)
 			}
@@ -150,22 +159,22 @@
 
 func (h *Host) emit(a Action) { h.actions = append(h.actions, a) }
 
-// armTimer keeps one timer running while anything waits.
+// armTimer keeps one timer running while anything is pending.
 func (h *Host) armTimer() {
-	want := Micros(math.MaxInt64)
+	due := Micros(math.MaxInt64)
 	if h.heldCount > 0 {
-		want = h.now + cycle
+		due = h.now + cycle
 	} else if len(h.requests) > 0 {
-		want = h.now + stallThreshold/2
+		due = h.now + stallThreshold/2
 	}
 	if h.subscribeAt > 0 {
-		want = min(want, h.subscribeAt)
+		due = min(due, h.subscribeAt)
 	}
-	if want == math.MaxInt64 || h.wakeAt > h.now && h.wakeAt <= want {
+	if due == math.MaxInt64 || h.wakeAt > h.now && h.wakeAt <= due {
 		return
 	}
 	h.token++
-	h.wakeAt = max(want, h.now+1)
+	h.wakeAt = max(due, h.now+1)
 	h.emit(Wake{h.wakeAt - h.now, h.token})
 }
 
@@ -185,21 +194,24 @@
 	v := h.volumeFor(e)
 	h.seq++
 	r := &request{
-		id: e.Request, seq: h.seq, class: &h.settings.Classes[e.Class], vol: v, cell: max(e.Cell, -1), key: e.Key,
-		units: e.Units, arrivedAt: h.now, deadline: e.DropDead, earlierAttempts: max(e.Tried, 0), charged: e.Tried > 0,
+		id: e.Request, seq: h.seq, class: &h.settings.Classes[e.Class], vol: v,
+		cell: max(e.Cell, -1), key: e.Key,
+		units: e.Units, arrivedAt: h.now, deadline: e.DropDead,
+		earlierAttempts: max(e.Tried, 0), charged: e.Tried > 0,
 		singleAttempt: e.Once, homeZoneOnly: e.Home && e.Cell < 0,
 	}
 	if !(r.units > 0) || math.IsInf(r.units, 0) {
-		r.units = 1 // can't be right
+		r.units = 1 // not a valid size
 	}
-	// What a host finds after it stood still came in between: its aim counts from then.
+	// A request found after a stall arrived during it: its aim counts from the arrival time that its deadline
+	// implies, if that lies after the previous Step.
 	came := r.deadline - r.class.Deadline
 	if came < h.previousStep || came > h.now {
 		came = h.now
 	}
-	// Repeat guard: what looks like a request that went unserved a moment ago is its client's repeat, and its
-	// aim counts from the first. Taken for new, repeats would take the places of requests that can earn all.
-	// Harm: a new request for the same data in the same size inherits an older aim, once.
+	// A request with the signature of one that recently went unserved is taken for its client's repeat, and
+	// its aim counts from the first arrival. Treated as new, repeats would displace requests that can earn
+	// their full worth. Harm: a new request for the same data in the same size inherits an older aim, once.
 	if first, ok := h.unserved[r.signature()]; ok && r.key != 0 && first+r.class.Deadline > h.now {
 		came = min(came, first)
 	}
@@ -237,9 +249,11 @@
 		if e.Plan >= 0 && e.Plan < len(h.settings.Plans) {
 			plan = &h.settings.Plans[e.Plan]
 		}
-		v = &volume{id: e.Volume, plan: plan, attached: attached, creditedAt: h.now, virtualTime: h.virtualTime}
-		// Limit guard: what the slice had spent before a restart is unknown, so it starts at its lowest
-		// at the time this host began. An entry that aged out was full, and is so again by this sum.
+		v = &volume{id: e.Volume, plan: plan, attached: attached, creditedAt: h.now,
+			virtualTime: h.virtualTime}
+		// To keep the limit, the bucket starts at its lowest level at the time this host started: what was
+		// drawn before a restart is unknown. The bucket of an entry that was dropped as idle was full, and
+		// this computation makes it full again.
 		v.tokens, v.tokensAt = -plan.LimitSlack/attached, h.startedAt
 		h.volumes[e.Volume] = v
 		h.roundRobin = append(h.roundRobin, v)
@@ -272,15 +286,15 @@
 	n.removeInFlight(a)
 	n.lastActive = h.now
 	h.recordOutcome(r, a, e)
-	ran := e.Outcome == Failed
+	mayHaveRun := e.Outcome == Failed
 	switch e.Outcome {
 	case OK:
 		h.clearPending(r)
-	case Failed, Full: // it may have been answered before its last byte had left
+	case Failed, Full: // the node may answer before the last byte was sent
 		r.maybeSeen = true
 	case TimedOut, Reset, Cancelled:
 		r.maybeSeen, r.mayStillArrive = true, r.mayStillArrive || e.Outcome != Reset
-		ran = true
+		mayHaveRun = true
 		if r.keyQueue != nil {
 			r.keyQueue.pausedUntil = max(r.keyQueue.pausedUntil, h.now+h.settings.Rules.OrderPause)
 		}
@@ -289,7 +303,7 @@
 		h.finish(r)
 		return
 	}
-	if ran {
+	if mayHaveRun {
 		h.restrictRetries(r, a)
 	}
 	if r.inFlight > 0 || r.queued {
@@ -304,7 +318,8 @@
 	h.enqueue(r)
 }
 
-// restrictRetries binds a request that must not run twice to the group that drops its repeats.
+// restrictRetries restricts retries of a request that may have run to the group and the time in which nodes
+// drop its repeats.
 func (h *Host) restrictRetries(r *request, a *attempt) {
 	if r.class.Repeat == Retryable {
 		return
@@ -323,14 +338,16 @@
 	return p/2 + Micros(h.rng.Int64N(int64(p)))
 }
 
-// mayRetry tells whether a further attempt can still be made at r.after.
+// mayRetry reports whether a further attempt may be made at r.notBefore.
 func (h *Host) mayRetry(r *request) bool {
-	once := r.mayHaveRun && (r.class.Repeat == Fragile || r.notBefore >= r.retryUntil)
-	more := h.settings.MaxAttempts == 0 || r.attemptCount() < h.settings.MaxAttempts
-	return more && !once && !r.streaming && !r.singleAttempt && r.notBefore+answerMargin < r.deadline
+	mustNotRerun := r.mayHaveRun && (r.class.Repeat == Fragile || r.notBefore >= r.retryUntil)
+	attemptsLeft := h.settings.MaxAttempts == 0 || r.attemptCount() < h.settings.MaxAttempts
+	return attemptsLeft && !mustNotRerun && !r.streaming && !r.singleAttempt &&
+		r.notBefore+answerMargin < r.deadline
 }
 
-// answerUnserved answers a request that will not be served: refused, with advice, where a retry is surely harmless.
+// answerUnserved gives a request that will not be served its final answer. It is refused, with advice on when
+// to come back, if a retry is certain to do no harm; otherwise it fails.
 func (h *Host) answerUnserved(r *request) {
 	if r.class.Repeat == Retryable || !r.mayHaveRun && r.inFlight == 0 {
 		deny := Deny{Request: r.id}
@@ -345,7 +362,7 @@
 	h.finish(r)
 }
 
-// finish ends a request; it is forgotten when no attempt is out.
+// finish marks a request as finished and drops it once no attempt is in flight.
 func (h *Host) finish(r *request) {
 	if !r.finished {
 		h.unanswered--
@@ -365,7 +382,7 @@
 	}
 }
 
-// releaseKeyQueues lets the first request of each rested key into its volume's queue.
+// releaseKeyQueues moves the first request of each key whose pause has ended to its volume's queue.
 func (h *Host) releaseKeyQueues() {
 	var due []*request
 	for k, c := range h.keyQueues {
@@ -425,8 +442,9 @@
 	}
 }
 
-// expireHeld answers every held request for which nothing can be earned any more, in the Step that finds it:
-// held back, its client could not come again in time. One with an attempt out waits for that alone.
+// expireHeld answers every held request that can no longer earn anything, in the Step that finds it: if the
+// answer were delayed, the client could not retry in time. A request with an attempt in flight only waits for
+// that.
 func (h *Host) expireHeld() {
 	var due []*request
 	for _, r := range h.requests {
@@ -443,51 +461,54 @@
 	}
 }
 
-// shedExcess gives up held requests while more are owed an answer than there is room for: clients whose
-// connections are all taken cannot ask at all, and who finds none is drawn by lot, reserved or not.
-// Exception: Gage would hold a request as long as it can earn something. First go those that can no longer
-// make their aim, then those of the volume whose queue is longest for what is reserved for it, the last in
-// its turn first. Harm: where a rush is over sooner than the aims, they were given up for nothing.
+// shedExcess refuses held requests while there are more unanswered requests than maxUnanswered: clients whose
+// connections are all in use cannot send at all, and which requests then find no connection is random,
+// whether reserved or not. It sheds requests that can no longer meet their aim first, then those of the
+// volume whose queue is longest relative to its reservation, the latest arrival first.
+// Exception: Gage would hold a request as long as it can earn something.
+// Harm: if a burst ends before the aims pass, the shed requests could have been served.
 func (h *Host) shedExcess() {
 	for h.maxUnanswered > 0 && h.unanswered > h.maxUnanswered {
 		var worst *request
-		var length float64 // how long its queue takes by its reservation, in seconds
+		var worstDrainTime float64 // seconds to drain the queue at its reserved rate
 		for _, v := range h.roundRobin {
 			r, units := h.shedCandidate(v)
 			if r == nil {
 				continue
 			}
-			long := units / max(h.reservation(v), 1)
-			past := h.missesAim(r)
-			if worst == nil || past && !h.missesAim(worst) || past == h.missesAim(worst) && long > length {
-				worst, length = r, long
+			drainTime := units / max(h.reservation(v), 1)
+			missed := h.missesAim(r)
+			if worst == nil || missed && !h.missesAim(worst) ||
+				missed == h.missesAim(worst) && drainTime > worstDrainTime {
+				worst, worstDrainTime = r, drainTime
 			}
 		}
 		if worst == nil {
 			return
 		}
-		worst.notBefore = max(worst.notBefore, h.now+Micros(length*float64(sec))) // the advice when to come back
+		// answerUnserved derives the advice on when to come back from notBefore.
+		worst.notBefore = max(worst.notBefore, h.now+Micros(worstDrainTime*float64(sec)))
 		h.answerUnserved(worst)
 	}
 }
 
-// shedCandidate is the held request of a volume that gives way first, nil where there is none, and all units that
-// wait there.
-func (h *Host) shedCandidate(v *volume) (last *request, units float64) {
+// shedCandidate returns the held request of a volume that is shed first, or nil, and the units of all its
+// queued requests.
+func (h *Host) shedCandidate(v *volume) (candidate *request, units float64) {
 	for _, l := range v.queues {
 		for _, r := range l.requests {
-			if units += r.units; r.inFlight == 0 && (last == nil || h.shedsBefore(r, last)) {
-				last = r
+			if units += r.units; r.inFlight == 0 && (candidate == nil || h.shedsBefore(r, candidate)) {
+				candidate = r
 			}
 		}
 	}
-	return last, units
+	return candidate, units
 }
 
-// missesAim tells whether a held request can no longer make its aim.
+// missesAim reports whether a held request can no longer meet its aim.
 func (h *Host) missesAim(r *request) bool { return h.now+Micros(h.unitTime*r.units) > r.aimAt }
 
-// shedsBefore orders the requests of one volume for last.
+// shedsBefore reports whether r is shed before o, a request of the same volume.
 func (h *Host) shedsBefore(r, o *request) bool {
 	if h.missesAim(r) != h.missesAim(o) {
 		return h.missesAim(r)
@@ -495,77 +516,80 @@
 	return o.precedes(r)
 }
 
-// canEarn tells whether a held request can still be sent so that its answer canEarn something: within its aim,
-// or late where that canEarn a part and its client still waits.
-// Exception: where the settings name a part of its time after which one that never left is better refused, it
-// must leave by then. Harm: late answers that would have earned a little.
+// canEarn reports whether a held request can still be sent so that its answer earns something: within its
+// aim, or late if late answers earn a share and the client still waits.
+// Exception: if HeldPart is set, a request that was never sent must leave within that part of its time.
+// Harm: late answers that would have earned a little are lost.
 func (h *Host) canEarn(r *request) bool {
-	need, last := h.unitTime*r.units, r.deadline-answerMargin-h.settings.Tick
-	leave := last
+	serviceTime, latest := h.unitTime*r.units, r.deadline-answerMargin-h.settings.Tick
+	leaveBy := latest
 	if h.settings.HeldPart > 0 && r.attemptCount() == 0 {
-		leave = min(last, r.arrivedAt+Micros(h.settings.HeldPart*float64(r.deadline-r.arrivedAt))-answerMargin)
+		leaveBy = min(latest,
+			r.arrivedAt+Micros(h.settings.HeldPart*float64(r.deadline-r.arrivedAt))-answerMargin)
 	}
 	at := h.earliestSend(r, false)
-	if at < never && at <= leave && at+Micros(need) <= r.aimAt {
+	if at < never && at <= leaveBy && at+Micros(serviceTime) <= r.aimAt {
 		return true
 	}
 	at = h.earliestSend(r, true)
-	return r.class.LateShare > 0 && !r.singleAttempt && at <= leave && at+Micros(minTimeShare*need) <= last
+	return r.class.LateShare > 0 && !r.singleAttempt && at <= leaveBy &&
+		at+Micros(minTimeShare*serviceTime) <= latest
 }
 
-// earliestSend is when r could leave, by all that is known now, for a node where nothing would wait before it;
-// never where nothing can make that true: no node, no repeat left, more units than its limit ever holds.
+// earliestSend estimates when r could be sent to a node without a queue. It returns never if that cannot
+// happen: there is no node, no retry is left, or r has more units than its limit ever holds.
 func (h *Host) earliestSend(r *request, late bool) Micros {
 	at := max(h.now, r.notBefore)
 	if r.keyQueue != nil {
 		at = max(at, r.keyQueue.pausedUntil)
 	}
 	if p := r.vol.plan; p.Limit > 0 && !r.charged {
-		room, least := p.LimitBurst/r.vol.attached, r.units-p.LimitSlack/r.vol.attached
+		capacity, needed := p.LimitBurst/r.vol.attached, r.units-p.LimitSlack/r.vol.attached
 		if late {
-			least = max(least, room)
+			needed = max(needed, capacity)
 		}
-		if least > room {
+		if needed > capacity {
 			return never
 		}
-		at = max(at, h.now+Micros(max(least-h.availableTokens(r.vol), 0)*r.vol.attached/p.Limit*float64(sec)))
+		at = max(at,
+			h.now+Micros(max(needed-h.availableTokens(r.vol), 0)*r.vol.attached/p.Limit*float64(sec)))
 	}
 	units, anywhere := r.units, r.cell < 0 && !r.mayHaveRun && !r.homeZoneOnly
 	if anywhere {
-		units = h.settings.UnitMean // found once a Step for all of them
+		units = h.settings.UnitMean // computed once per Step for all new objects
 	}
-	node, known := h.earliestNewObject[late]
+	nodeAt, known := h.earliestNewObject[late]
 	if !known || !anywhere {
-		node = never
+		nodeAt = never
 		for _, n := range h.candidates(r) {
-			node = min(node, h.nodeAvailableAt(n, units, late))
+			nodeAt = min(nodeAt, h.nodeAvailableAt(n, units, late))
 		}
 	}
 	if anywhere {
-		h.earliestNewObject[late] = node
+		h.earliestNewObject[late] = nodeAt
 	}
-	if at = max(at, node); r.mayHaveRun && (r.class.Repeat == Fragile || at >= r.retryUntil) {
+	if at = max(at, nodeAt); r.mayHaveRun && (r.class.Repeat == Fragile || at >= r.retryUntil) {
 		return never
 	}
 	return at
 }
 
-// nodeAvailableAt is when a node that is not told of as drained or gone would take such a request, by its rests, its
-// pause, the pace of its window, the guard of cold nodes and what waits there.
+// nodeAvailableAt estimates when a node would accept a request of the given units, by its wait, its backoffs,
+// the pause of its window and slow start. It returns never for a node that is not Ready.
 func (h *Host) nodeAvailableAt(n *node, units float64, late bool) Micros {
 	if n.State != Ready {
 		return never
 	}
 	at := h.now + Micros(h.expectedWait(n))
-	if n.unresponsive() {
-		at = min(at, n.lastActive+h.trialInterval())
+	if n.silent() {
+		at = min(at, n.lastActive+h.trialDelay())
 	}
 	if at = max(at, h.now, n.backoffUntil); late {
 		at = max(at, n.lastActive+lateBackoff*Micros(h.settings.Hosts))
 	}
 	if w := max(h.window(n, 0), h.window(n, 1)); w < 1 && len(n.inFlight) == 0 {
-		opened := max(n.lastActive, n.reducedAt[0]) + Micros(float64(waitInfoLifetime)*(1+math.Log2(1/w)))
-		at = max(at, min(n.sentAt+Micros(h.responseTime(n)/w), opened))
+		reopensAt := max(n.lastActive, n.reducedAt[0]) + Micros(float64(waitInfoLifetime)*(1+math.Log2(1/w)))
+		at = max(at, min(n.sentAt+Micros(h.responseTime(n)/w), reopensAt))
 	}
 	if part, next, warm := h.slowStartShare(n, at); units > part {
 		if part, _, _ = h.slowStartShare(n, next); units > part {
@@ -576,9 +600,9 @@
 	return at
 }
 
-// Outlook is how long an answer from a cell would take a request that came now, by all that is known of its
-// nodes: for callers that may choose between cells that hold the same. Where a window is full, one answer is
-// waited for first.
+// Outlook estimates the response time of a cell for a request that arrives now, for callers that may choose
+// between cells with the same data. A full window adds the response time of one request. It returns Never if
+// the cell has no node that can serve the request.
 func (h *Host) Outlook(cell int, units float64) Micros {
 	at := never
 	for _, n := range h.nodesByCell[cell] {
@@ -594,8 +618,8 @@
 	return at - h.now + Micros(h.unitTime*units)
 }
 
-// Down tells that no node of a cell takes connections for now, so that what may go elsewhere need not wait
-// for the next try.
+// Down reports whether no node of a cell accepts connections at present, so that a request that may go
+// elsewhere need not wait for the next attempt.
 func (h *Host) Down(cell int) bool {
 	for _, n := range h.nodesByCell[cell] {
 		if n.State == Ready && (n.connectBackoff == 0 || h.now >= n.backoffUntil) {
@@ -607,8 +631,8 @@
 
 // ---- cycle ----
 
-// credit adds what the queue's reservation has earned since the last visit. It is called only for a
-// queue that waits, and the balance is capped.
+// credit adds to the balance what the reservation has earned since the last visit, up to a cap. It is called
+// only while requests are queued.
 func (h *Host) credit(v *volume) {
 	rate := h.reservation(v)
 	v.balance += rate * seconds(h.now-v.creditedAt)
@@ -616,27 +640,29 @@
 	v.balance = min(v.balance, max(rate*maxBalanceSeconds, h.settings.UnitTop))
 }
 
-// reservation is this host's part of the plan's reservation: the even slice, or where answers tell what
-// the volume gets through all hosts, the part that goes through this one and half of what nobody uses.
-// The parts of all hosts add up to the whole, so that a jam, where little is served, frees no flood.
+// reservation returns this host's share of the plan's reservation, in units a second. It is the even share,
+// or, if answers report the volume's use over all hosts and that is larger, the proportion served through
+// this host plus half of the unused rest. The shares of all hosts add up to the whole reservation, so that a
+// congestion, in which little is served, does not release a flood of requests.
 func (h *Host) reservation(v *volume) float64 {
-	whole := v.plan.Reserve
-	slice := whole / v.attached
+	full := v.plan.Reserve
+	even := full / v.attached
 	own, total := v.ownRate.perSecond(h.now, rateSpan), v.totalRate
 	if v.totalRateAt == 0 || h.now-v.totalRateAt >= maxRateAge {
 		if !h.settings.TellsElsewhere {
-			return slice
+			return even
 		}
 		total = own + v.otherRate.perSecond(h.now, rateSpan)
 	}
-	mine := whole*own/max(total, own, 1) + max(whole-total, 0)/2
-	return min(max(slice, mine), whole)
+	proportional := full*own/max(total, own, 1) + max(full-total, 0)/2
+	return min(max(even, proportional), full)
 }
 
-// weight is the queue's part in the second pass.
+// weight returns the volume's weight in the second pass.
 func (v *volume) weight() float64 { return cmp.Or(v.plan.Reserve, v.plan.Weight, 1) / v.attached }
 
-// runCycle is Gage's: a first pass by reservation, a second over the room that is left.
+// runCycle runs one cycle of Gage: a first pass by reservation and a second over the remaining capacity, both
+// for requests that can meet their aim and then for late ones.
 func (h *Host) runCycle() {
 	h.dropIdleVolumes()
 	for _, late := range []bool{false, true} {
@@ -677,7 +703,7 @@
 	}
 }
 
-// next is the request of v that leaves next and the node it goes to, or nil.
+// next returns the request of v to send next and its node, or nil.
 func (h *Host) next(v *volume, pass int, late bool) (*request, *node) {
 	var best *request
 	var at *node
@@ -697,7 +723,7 @@
 	return best, at
 }
 
-// precedes orders the requests of one volume: the class worth most per unit first, then in turn of arrival.
+// precedes orders the requests of one volume by the worth of their class, highest first, then by arrival.
 func (r *request) precedes(o *request) bool {
 	if r.class.Worth != o.class.Worth {
 		return r.class.Worth > o.class.Worth
@@ -705,63 +731,65 @@
 	return r.seq < o.seq
 }
 
-// candidates are the nodes in use that hold r's shard, or all of them for a new object, and of those the ones
-// that drop its repeat where it may have run.
+// candidates returns the nodes that hold r's shard, or all nodes for a new object. If r may have run, only
+// those that drop its repeat are returned.
 func (h *Host) candidates(r *request) []*node {
 	nodes := h.sortedNodes
 	if r.cell >= 0 {
 		nodes = h.nodesByCell[r.cell]
 	}
-	bound := r.mayHaveRun && r.class.Group == GroupZone
-	if !bound && !r.homeZoneOnly {
+	zoneBound := r.mayHaveRun && r.class.Group == GroupZone
+	if !zoneBound && !r.homeZoneOnly {
 		return nodes
 	}
-	// Exception: where bytes between zones cost, a caller keeps its new objects in this host's zone.
-	// Harm: other zones idle.
+	// Exception: where traffic between zones costs money, a caller keeps its new objects in this host's zone.
+	// Harm: nodes of other zones may idle.
 	var zone []*node
 	for _, n := range nodes {
-		if (!bound || n.Zone == r.dedupNode.Zone) && (!r.homeZoneOnly || n.Zone == h.settings.Zone) {
+		if (!zoneBound || n.Zone == r.dedupNode.Zone) && (!r.homeZoneOnly || n.Zone == h.settings.Zone) {
 			zone = append(zone, n)
 		}
 	}
 	return zone
 }
 
-// selectNode finds the node for r: the one that holds its shard, or for a new object, of those that take it now,
-// the one with the least estimated outstanding load; nil where none does.
+// selectNode returns the node for r, or nil: of the candidates that accept r now, the one with the least
+// estimated outstanding load.
 func (h *Host) selectNode(r *request, pass int, late bool) *node {
 	if r.attemptCount() > 0 && !h.budgetAllows() || late && !r.charged && !h.bucketFull(r.vol) {
 		return nil
 	}
-	// Herd guard: a node not heard of yet, as after its start, is taken to be as fast as the others, or it
-	// would look best to all hosts at once. Also covers a new list; harm: a faster one is found later.
-	usual := max(h.unitTime*h.settings.UnitMean, 1)
+	// A node without any answer yet, as after its start, is assumed to be as fast as the others; otherwise
+	// all hosts would prefer it at once. This also covers a new node list. Harm: a faster node is found
+	// later.
+	defaultLatency := max(h.unitTime*h.settings.UnitMean, 1)
 	var best *node
-	var least float64
+	var leastLoad float64
 	for _, n := range h.candidates(r) {
-		load := (n.unitsInFlight + r.units) * cmp.Or(n.latency, usual) / (1 + minSuccessShare - n.failureShare)
-		if (best == nil || load < least) && h.accepts(n, r, pass, late) {
-			best, least = n, load
+		load := (n.unitsInFlight + r.units) * cmp.Or(n.latency, defaultLatency) /
+			(1 + minSuccessShare - n.failureShare)
+		if (best == nil || load < leastLoad) && h.accepts(n, r, pass, late) {
+			best, leastLoad = n, load
 		}
 	}
 	return best
 }
 
-// accepts tells whether a request may go to a node now: whether it is late there as asked, whether the node
-// accepts connections, whether its window has room, and the guard of cold nodes.
+// accepts reports whether r may be sent to n now: r is late there or in time, as asked for, the node accepts
+// connections, its window has capacity and slow start allows it.
 func (h *Host) accepts(n *node, r *request, pass int, late bool) bool {
-	wait, try := h.expectedWait(n), h.allowsTrial(n)
-	if try {
-		wait = 0 // nobody knows
+	wait, trial := h.expectedWait(n), h.allowsTrial(n)
+	if trial {
+		wait = 0 // the wait is not known
 	}
 	if n.State != Ready || late != (h.now+Micros(wait+h.unitTime*r.units) > r.aimAt) ||
 		late && (r.class.LateShare <= 0 || h.now+Micros(wait+minTimeShare*h.unitTime*r.units) > r.deadline) ||
 		(n.connectBackoff > 0 || late) && len(n.inFlight) > 0 ||
 		late && h.now-n.lastActive < lateBackoff*Micros(h.settings.Hosts) || h.now < n.backoffUntil ||
 		pass == 1 && h.initialWindow(1) < 1 && wait > secondPassWaitShare*float64(h.minAim) {
-		return false // the last line: many hosts, whose windows learn late that no room is left
+		return false // the last condition: with many hosts, the windows react late when capacity runs out
 	}
-	return (h.hasCapacity(n, pass) || try) && h.slowStartAllows(n, r)
+	return (h.hasCapacity(n, pass) || trial) && h.slowStartAllows(n, r)
 }
 
 func (h *Host) send(r *request, n *node) {
@@ -780,13 +808,13 @@
 	n.sentLog.add(h.now, r.units)
 	s := Send{Request: r.id, Node: n.ID}
 	if r.mayHaveRun && r.class.Repeat == Dedup {
-		s.By = r.retryUntil // its connection may take longer to come up
+		s.By = r.retryUntil // the connection may be established later
 	}
 	h.emit(s)
 }
 
-// dropIdleVolumes drops the entries of volumes that have long been idle; one with a limit only once its slice is
-// surely full, which is what a new entry starts from.
+// dropIdleVolumes drops the entries of volumes idle for longer than maxVolumeIdle. A volume with a limit is
+// kept until its bucket is full, which is what a new entry amounts to.
 func (h *Host) dropIdleVolumes() {
 	keep := h.roundRobin[:0]
 	for _, v := range h.roundRobin {
@@ -801,7 +829,7 @@
 
 // ---- node window ----
 
-// recordOutcome takes what the end of an attempt tells of its node and volume.
+// recordOutcome updates the state of the node and the volume from the end of an attempt.
 func (h *Host) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	n, v := a.node, r.vol
 	if e.Elsewhere > 0 {
@@ -812,17 +840,18 @@
 		v.totalRateAt = h.now
 	}
 	took := h.now - a.sentAt
-	bad := 0.0
-	// Down guard: a node that takes no connections is tried by one request at a time, so that those it
-	// would serve later do not burn their attempts on it. Also covers a cut link or a full connection
-	// table; harm: up to downMost of a node's time after it is back.
+	failure := 0.0
+	// A node that accepts no connections is tried by one request at a time, so that requests it could serve
+	// later do not use up their attempts. This also covers a cut link or a full connection table. Harm: up to
+	// maxConnectBackoff of a node's time is unused after it is back.
 	if e.Outcome != ConnectFailed {
 		if n.connectBackoff > minConnectBackoff && n.Started < n.connectFailedAt {
-			n.presumedStart = n.connectFailedAt // more than one try in a row failed: its process may be new
+			n.presumedStart = n.connectFailedAt // several failures in a row: its process may be new
 		}
 		n.connectBackoff = 0
 	} else if a.sentAt >= n.connectFailedAt {
-		n.connectBackoff, n.connectFailedAt = min(max(2*n.connectBackoff, minConnectBackoff), maxConnectBackoff), h.now
+		n.connectBackoff, n.connectFailedAt =
+			min(max(2*n.connectBackoff, minConnectBackoff), maxConnectBackoff), h.now
 		n.backoffUntil = h.now + n.connectBackoff
 	}
 	if e.Outcome == OK {
@@ -851,9 +880,9 @@
 		if n.missingAnswers, n.backoffUntil = 0, 0; a.waitDoublings > 0 {
 			h.lossShare -= smoothing * h.lossShare
 		}
-		for p, part := range [2]float64{firstPassWaitShare, secondPassWaitShare} {
-			if past := part * float64(h.minAim); wait > past {
-				h.shrinkWindow(n, p, a, past/wait)
+		for p, share := range [2]float64{firstPassWaitShare, secondPassWaitShare} {
+			if maxWait := share * float64(h.minAim); wait > maxWait {
+				h.shrinkWindow(n, p, a, maxWait/wait)
 			} else if w := h.window(n, p); w < 1 {
 				n.window[p] = w * (1 + windowGrowth)
 			} else if float64(len(n.inFlight)+1) >= w/2 {
@@ -861,62 +890,66 @@
 			}
 		}
 	case TimedOut, Full, ConnectFailed:
-		// A client that gives up before the node is late is impatient: that is no answer that vanished.
+		// If the client gave up before the node was overdue, the answer does not count as lost.
 		if e.Outcome == TimedOut && !a.overtaken && took > Micros(firstPassWaitShare*float64(h.minAim)) {
 			n.missingAnswers++
 		}
 		h.shrinkWindow(n, 0, a, 0)
 		h.shrinkWindow(n, 1, a, 0)
-		// Jam guard: a node that works through what nobody waits for any more stays jammed as long as each
-		// host tries it again by itself every few seconds. After an attempt in vain a host leaves it alone
-		// for a time drawn at random up to vainRest times the hosts, so that the tries of all are spread over
-		// it and the node can drain. One that waited for long may be a lost answer: there it takes as many
-		// in a row as a hung node. Also covers cut-off and slowed nodes, and clients so impatient that the
-		// work of their tries is lost. Harm: a node that was late for an impatient one idles for this host.
+		// A congested node that works on requests whose clients have left stays congested if every host sends
+		// it another request every few seconds. After an unsuccessful attempt a host therefore backs off for
+		// a random time of up to timeoutBackoff times the number of hosts, which spreads the attempts of all
+		// hosts so that the node can drain its queue. An attempt that waited for long may be a lost answer;
+		// it then takes as many in a row as for a hung node. This also covers cut-off and slowed nodes, and
+		// clients with deadlines so short that the work of their attempts is wasted. Harm: a node that was
+		// late only for such a client gets nothing from this host for a while.
 		if e.Outcome != ConnectFailed && (a.waitDoublings == 0 || n.missingAnswers > maxMissingAnswers) {
 			n.backoffUntil = h.now + Micros(h.rng.Float64()*float64(timeoutBackoff)*float64(h.settings.Hosts))
 		}
-		bad = 1
+		failure = 1
 	case Failed, Reset:
-		bad = 1
+		failure = 1
 	default:
 		return
 	}
-	n.failureShare += smoothing * (bad - n.failureShare)
+	n.failureShare += smoothing * (failure - n.failureShare)
 }
 
-// shrinkWindow shuts a window to the given part, at most by half and at most once a round trip.
-func (h *Host) shrinkWindow(n *node, pass int, a *attempt, part float64) {
+// shrinkWindow reduces a window by the given factor, at most by half and at most once per round trip.
+func (h *Host) shrinkWindow(n *node, pass int, a *attempt, factor float64) {
 	if a.sentAt < n.reducedAt[pass] || a.lost {
 		return
 	}
-	n.window[pass] = max(h.window(n, pass)*max(part, 0.5), h.minWindow())
+	n.window[pass] = max(h.window(n, pass)*max(factor, 0.5), h.minWindow())
 	n.reducedAt[pass] = h.now
 }
 
-// initialWindow is where a window starts: the first pass at its most, the second at this host's part of a few.
+// initialWindow returns the initial size of a window: the maximum for the first pass, this host's share of
+// secondPassPerFleet for the second.
 func (h *Host) initialWindow(pass int) float64 {
-	return []float64{h.maxWindow(), min(h.maxWindow(), secondPassFleetWindow/float64(h.settings.Hosts))}[pass]
+	return []float64{h.maxWindow(), min(h.maxWindow(), secondPassPerFleet/float64(h.settings.Hosts))}[pass]
 }
 
-// maxWindow is what this host may have out at a node: where there are few hosts, its part of what one should bear.
-func (h *Host) maxWindow() float64 {
-	return max(maxHostWindow, maxFleetWindow/float64(h.settings.Hosts))
-}
+// maxWindow returns how many requests this host may have in flight at a node; with few hosts, its share of
+// maxPerFleet.
+func (h *Host) maxWindow() float64 { return max(maxPerHost, maxPerFleet/float64(h.settings.Hosts)) }
 
-// minWindow is this host's part of what all hosts together keep out at a node however slow it is.
-func (h *Host) minWindow() float64 { return min(1, minFleetWindow/float64(h.settings.Hosts)) }
+// minWindow returns this host's share of what all hosts together keep in flight at a node, however slow it
+// is.
+func (h *Host) minWindow() float64 { return min(1, minPerFleet/float64(h.settings.Hosts)) }
 
-// window is the node's window now: one that shut opens again while nothing is heard and nothing is out.
+// window returns the node's window now. A reduced window grows again while nothing is in flight and no answer
+// arrives.
 func (h *Host) window(n *node, pass int) float64 {
-	w, open := n.window[pass], h.initialWindow(pass)
-	if old := h.now - max(n.lastActive, n.reducedAt[pass]); w < open && old > waitInfoLifetime && len(n.inFlight) == 0 {
-		return min(w*math.Exp2(float64(old-waitInfoLifetime)/float64(waitInfoLifetime)), open)
+	w, initial := n.window[pass], h.initialWindow(pass)
+	if silence := h.now - max(n.lastActive, n.reducedAt[pass]); w < initial &&
+		silence > waitInfoLifetime && len(n.inFlight) == 0 {
+		return min(w*math.Exp2(float64(silence-waitInfoLifetime)/float64(waitInfoLifetime)), initial)
 	}
 	return w
 }
 
-// hasCapacity tells whether the node's window takes one more request.
+// hasCapacity reports whether the node's window admits one more request.
 func (h *Host) hasCapacity(n *node, pass int) bool {
 	w := h.window(n, pass)
 	if w >= 1 {
@@ -925,15 +958,17 @@
 	return len(n.inFlight) == 0 && h.now >= n.sentAt+Micros(h.responseTime(n)/w)
 }
 
-// responseTime is how long a node usually takes; where nothing was seen yet, as long as the second pass may wait.
+// responseTime returns the node's usual response time, or while none is known the longest wait that the
+// second pass tolerates.
 func (h *Host) responseTime(n *node) float64 {
 	return cmp.Or(max(n.latency, h.unitTime*h.settings.UnitMean), secondPassWaitShare*float64(h.minAim))
 }
 
-// checkOverdue looks at requests that have waited at a node for longer than the first pass allows: their answers
-// may be seconds away, or never come. Each says that the node is slow, and shuts its windows at each
-// doubling of its wait. Where answers are known to vanish it is lost instead: it gives up its place and is
-// sent again. Covers lossy links and dropped requests; harm: a request that is only heavy runs twice.
+// checkOverdue handles attempts that have waited at a node for longer than the first pass tolerates: the
+// answer may take seconds or never come. Such an attempt indicates a slow node and shrinks its windows at
+// each doubling of its wait. If answers are known to get lost, the attempt counts as lost instead: it leaves
+// the window and the request is sent again. This covers lossy links and dropped requests. Harm: a request
+// that is merely expensive runs twice.
 func (h *Host) checkOverdue() {
 	for _, n := range h.sortedNodes {
 		for i := 0; i < len(n.inFlight); i++ {
@@ -942,14 +977,14 @@
 			if a.duringStall || h.unitTime == 0 {
 				continue
 			}
-			long := waited > firstPassWaitShare*float64(h.minAim)*math.Exp2(float64(a.waitDoublings))
-			if long {
+			overdue := waited > firstPassWaitShare*float64(h.minAim)*math.Exp2(float64(a.waitDoublings))
+			if overdue {
 				if a.waitDoublings++; h.lossShare < lossThreshold/4 {
 					h.recordWait(n, waited)
 					n.waitAssumed = true
 				}
 			}
-			if a.overtaken || long && h.lossShare > lossThreshold {
+			if a.overtaken || overdue && h.lossShare > lossThreshold {
 				n.removeInFlight(a)
 				i--
 				a.lost = true
@@ -960,7 +995,7 @@
 				continue
 			}
 			for p := range n.window {
-				if long {
+				if overdue {
 					n.window[p], n.reducedAt[p] = max(n.window[p]/2, h.minWindow()), h.now
 				}
 			}
@@ -971,7 +1006,7 @@
 	}
 }
 
-// hedge sends a request again whose answer is lost, where a second hedge is allowed.
+// hedge queues another attempt of a request whose answer seems lost, if two attempts at once are allowed.
 func (h *Host) hedge(a *attempt) {
 	r := a.req
 	if r.finished || r.queued || !h.settings.SecondCopies || r.class.Repeat == Fragile {
@@ -984,26 +1019,26 @@
 	}
 }
 
-// allowsTrial lets one request past attempts that wait for long, whether they hold the window or their wait
-// makes all others late, so seldom that those of all hosts add up to few: its answer tells lost attempts from
-// a node that hangs. Held to the aim by that wait, none would leave before the lost one has timed out.
-func (h *Host) allowsTrial(n *node) bool {
-	return n.unresponsive() && h.now-n.lastActive > h.trialInterval()
-}
+// allowsTrial reports whether one request may be sent to n although attempts there are overdue, which fill
+// the window or make all other requests late. Its answer distinguishes lost attempts from a node that hangs;
+// if the assumed wait counted, nothing would be sent before the lost attempt has timed out. Trials are so
+// rare that those of all hosts together stay few.
+func (h *Host) allowsTrial(n *node) bool { return n.silent() && h.now-n.lastActive > h.trialDelay() }
 
-func (h *Host) trialInterval() Micros {
-	return Micros(float64(h.minAim) * max(1, float64(h.settings.Hosts)/minFleetWindow))
+func (h *Host) trialDelay() Micros {
+	return Micros(float64(h.minAim) * max(1, float64(h.settings.Hosts)/minPerFleet))
 }
 
-// unresponsive tells whether all that is known of the node's wait is that answers have not come.
-func (n *node) unresponsive() bool {
+// silent reports whether the only evidence of the node's wait is that answers are overdue.
+func (n *node) silent() bool {
 	quick := slices.ContainsFunc(n.inFlight, func(a *attempt) bool { return a.waitDoublings == 0 })
 	return !quick && (len(n.inFlight) > 0 || n.waitAssumed)
 }
 
-// expectedWait is what a request would expectedWait at the node, by its last news: a queue drains no faster than time. A
-// node not heard of lately is taken to be like the others: in a rush that fills all nodes each host would
-// else lose a request to each of them to find out. Harm: one slow node makes unknown ones seem slower.
+// expectedWait estimates the wait of a request at the node from the last known wait, less the time since: a
+// queue drains no faster than that. A node without recent answers is assumed to be like the others;
+// otherwise, in a burst that fills all nodes, each host would lose a request to each of them to find out.
+// Harm: one slow node makes unknown ones seem slower.
 func (h *Host) expectedWait(n *node) float64 {
 	if h.now-n.waitAt > waitInfoLifetime {
 		return max(n.wait-float64(h.now-n.waitAt), h.meanWait-float64(h.now-h.meanWaitAt), 0)
@@ -1011,20 +1046,21 @@
 	return max(n.wait-float64(h.now-n.waitAt), 0)
 }
 
-// recordWait takes in what a request has waited at a node.
+// recordWait records how long a request has waited at a node.
 func (h *Host) recordWait(n *node, wait float64) {
 	n.wait, n.waitAt, n.waitAssumed = wait, h.now, false
-	past := max(h.meanWait-float64(h.now-h.meanWaitAt), 0)
-	h.meanWait, h.meanWaitAt = past+smoothing*(wait-past), h.now
+	mean := max(h.meanWait-float64(h.now-h.meanWaitAt), 0)
+	h.meanWait, h.meanWaitAt = mean+smoothing*(wait-mean), h.now
 }
 
-// updateUnitTime follows the mean time a unit takes, over all nodes, as one node answers one host too seldom;
-// what an answer took beyond it is a wait. Times over twice the mean are waits for the most part and raise
-// it slowly, or after a jam all requests would seem too late to be sent, and nothing would teach better.
-func (h *Host) updateUnitTime(x float64) {
-	h.unitTime = cmp.Or(h.unitTime, x)
-	if x > 2*h.unitTime {
-		x = h.unitTime * (1 + maxUnitTimeRise)
-	}
-	h.unitTime += smoothing * (x - h.unitTime)
+// updateUnitTime updates the mean service time of a unit. It is kept over all nodes because one node answers
+// one host too rarely. The time that an answer takes beyond it counts as wait. Samples over twice the mean
+// are mostly waiting and raise it slowly; otherwise, after a congestion, all requests would seem too late to
+// be sent and no answer would correct the estimate.
+func (h *Host) updateUnitTime(sample float64) {
+	h.unitTime = cmp.Or(h.unitTime, sample)
+	if sample > 2*h.unitTime {
+		sample = h.unitTime * (1 + maxUnitTimeRise)
+	}
+	h.unitTime += smoothing * (sample - h.unitTime)
 }
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -1,7 +1,7 @@
 package logic
 
-// What a host has learned, as plain data that outlasts its process. Nothing is decided here: how much of it still
-// counts after a while is decided by whoever gives it back.
+// What a host has learned, as plain data that can outlive its process. This file takes no decisions: the caller that
+// restores the data decides how much of it is still valid.
 
 import (
 	"cmp"
@@ -11,35 +11,35 @@
 	"slices"
 )
 
-// Memory is what a host has learned. Times are ages: how long ago something was, in microseconds; below zero it
-// lies ahead. Never stands for something that has not happened.
+// Memory is what a host has learned, as data to be stored. Times are ages in microseconds: how long ago something
+// happened, or, if negative, how far in the future it lies. Never stands for something that has not happened.
 type Memory struct {
-	Waits    float64 // smoothed wait at all nodes, in microseconds, WaitsAge ago
+	Waits    float64 // smoothed wait at all nodes, in microseconds, as of WaitsAge ago
 	WaitsAge Micros
 	Vanish   float64 // smoothed share of lost attempts
-	Unit     float64 // microseconds of a unit; 0: not seen
+	Unit     float64 // service time of a unit, in microseconds; 0: not known
 	Spare    float64 // virtual time of the second pass
 	Turns    int
-	Random   []byte // state of the host's random numbers; empty: it begins anew
-	Taken    []Micros
-	Extra    []Micros // further attempts in the budget's window
+	Random   []byte   // state of the random number generator; empty: use a new one
+	Taken    []Micros // arrivals in the retry budget's window
+	Extra    []Micros // retries in the retry budget's window
 	Nodes    []NodeMemory
 	Volumes  []VolumeMemory
 }
 
-// NodeMemory is what a host has learned of a node.
+// NodeMemory is what a host has learned about a node.
 type NodeMemory struct {
-	Node    Node // Started is an age here too; Never: long ago
+	Node    Node // Started is an age here; Never: long ago
 	Window  [2]float64
 	Halved  [2]Micros
 	Missing int
-	Rest    Micros // below zero: left alone for so long
+	Rest    Micros // if negative, nothing is sent for this long
 	Latency float64
 	Last    Micros
 	Sent    Micros
 	Wait    float64
 	WaitAge Micros
-	Down    Micros // the pause after failed connections, a length
+	Down    Micros // the pause after failed connections, a duration
 	DownAge Micros
 	Revived Micros
 	Failing float64
@@ -47,7 +47,7 @@
 	Served  []Past
 }
 
-// VolumeMemory is what a host has learned of a volume.
+// VolumeMemory is what a host has learned about a volume.
 type VolumeMemory struct {
 	ID       VolumeID
 	Plan     int
@@ -56,26 +56,26 @@
 	Credited Micros
 	Share    float64
 	Last     Micros
-	Store    float64 // the host's slice of the limit
+	Store    float64 // what the host's share of the limit holds
 	Stored   Micros
-	Known    bool    // Store is what was left; otherwise what has been drawn since is not known
-	OnTheWay float64 // units charged that may still arrive at a node
+	Known    bool    // Store is up to date; otherwise what was drawn since is not known
+	OnTheWay float64 // units charged that may still reach a node
 	Own      Past    // decaying sums, in units
 	Others   Past
 	Total    float64
 	TotalAge Micros
 }
 
-// Past is an amount and how long ago it was.
+// Past is an amount of units and its age.
 type Past struct {
 	Age   Micros
 	Units float64
 }
 
-// Never is the age of what has not happened.
+// Never is the age of something that has not happened.
 const Never = Micros(math.MaxInt64 / 4)
 
-// Memory copies what the host has learned by now. Requests it holds are not part of it.
+// Memory returns a copy of what the host has learned by now. Requests that it holds are not included.
 func (h *Host) Memory(now Micros) Memory {
 	age := func(at Micros) Micros {
 		if at == 0 {
@@ -83,14 +83,15 @@
 		}
 		return now - at
 	}
-	past := func(r decayingSum) Past { return Past{age(r.at), r.sum} }
-	pasts := func(l unitLog) (out []Past) {
+	toPast := func(r decayingSum) Past { return Past{age(r.at), r.sum} }
+	toPasts := func(l unitLog) (out []Past) {
 		for _, e := range l {
 			out = append(out, Past{now - e.at, e.units})
 		}
 		return out
 	}
-	m := Memory{Waits: h.meanWait, WaitsAge: age(h.meanWaitAt), Vanish: h.lossShare, Unit: h.unitTime, Spare: h.virtualTime, Turns: h.rotation}
+	m := Memory{Waits: h.meanWait, WaitsAge: age(h.meanWaitAt), Vanish: h.lossShare, Unit: h.unitTime,
+		Spare: h.virtualTime, Turns: h.rotation}
 	m.Random, _ = h.pcg.MarshalBinary()
 	for _, at := range h.recentArrivals {
 		m.Taken = append(m.Taken, now-at)
@@ -99,10 +100,13 @@
 		m.Extra = append(m.Extra, now-at)
 	}
 	for _, n := range h.sortedNodes {
-		x := NodeMemory{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.reducedAt[0]), age(n.reducedAt[1])}, Missing: n.missingAnswers,
-			Rest: age(n.backoffUntil), Latency: n.latency, Last: age(n.lastActive), Sent: age(n.sentAt), Wait: n.wait, WaitAge: age(n.waitAt),
-			Down: n.connectBackoff, DownAge: age(n.connectFailedAt), Revived: age(n.presumedStart), Failing: n.failureShare, SentLog: pasts(n.sentLog),
-			Served: pasts(n.servedLog)}
+		x := NodeMemory{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.reducedAt[0]), age(n.reducedAt[1])},
+			Missing: n.missingAnswers,
+			Rest: age(n.backoffUntil), Latency: n.latency, Last: age(n.lastActive), Sent: age(n.sentAt),
+			Wait: n.wait, WaitAge: age(n.waitAt),
+			Down: n.connectBackoff, DownAge: age(n.connectFailedAt), Revived: age(n.presumedStart),
+			Failing: n.failureShare, SentLog: toPasts(n.sentLog),
+			Served: toPasts(n.servedLog)}
 		x.Node.Started = age(n.Started)
 		m.Nodes = append(m.Nodes, x)
 	}
@@ -112,72 +116,75 @@
 		}
 		plan := slices.IndexFunc(h.settings.Plans, func(p Plan) bool { return p == *v.plan })
 		m.Volumes = append(m.Volumes, VolumeMemory{ID: v.id, Plan: plan, Attached: v.attached, Balance: v.balance,
-			Credited: age(v.creditedAt), Share: v.virtualTime, Last: age(v.lastUsed), Store: v.tokens, Stored: age(v.tokensAt), Known: true,
-			OnTheWay: v.pending + v.abandoned, Own: past(v.ownRate), Others: past(v.otherRate), Total: v.totalRate, TotalAge: age(v.totalRateAt)})
+			Credited: age(v.creditedAt), Share: v.virtualTime, Last: age(v.lastUsed), Store: v.tokens,
+			Stored: age(v.tokensAt), Known: true,
+			OnTheWay: v.pending + v.abandoned, Own: toPast(v.ownRate), Others: toPast(v.otherRate),
+			Total: v.totalRate, TotalAge: age(v.totalRateAt)})
 	}
 	return m
 }
 
-// Check finds what cannot be in a memory, whoever wrote it.
+// Check returns an error if m holds values that no host can have stored.
 func (m *Memory) Check() error {
-	var bad error
-	ok := func(what string, at int, v ...float64) {
+	var problem error
+	finite := func(what string, at int, v ...float64) {
 		for _, x := range v {
-			if bad == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
-				bad = fmt.Errorf("memory: %s %d holds %v", what, at, x)
+			if problem == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
+				problem = fmt.Errorf("memory: %s %d: value %v is not finite", what, at, x)
 			}
 		}
 	}
-	positive := func(what string, at int, v ...float64) {
-		ok(what, at, v...)
+	nonNegative := func(what string, at int, v ...float64) {
+		finite(what, at, v...)
 		for _, x := range v {
-			if bad == nil && x < 0 {
-				bad = fmt.Errorf("memory: %s %d holds %v, which is below zero", what, at, x)
+			if problem == nil && x < 0 {
+				problem = fmt.Errorf("memory: %s %d: value %v is negative", what, at, x)
 			}
 		}
 	}
-	positive("the host's figure", 0, m.Waits, m.Vanish, m.Unit, m.Spare)
+	nonNegative("host", 0, m.Waits, m.Vanish, m.Unit, m.Spare)
 	if m.Vanish > 1 {
-		bad = cmp.Or(bad, fmt.Errorf("memory: a share of %v", m.Vanish))
+		problem = cmp.Or(problem, fmt.Errorf("memory: share of lost attempts is %v, above 1", m.Vanish))
 	}
 	for i, n := range m.Nodes {
-		positive("node", i, n.Window[0], n.Window[1], n.Latency, n.Wait, n.Failing, n.Node.Rating)
+		nonNegative("node", i, n.Window[0], n.Window[1], n.Latency, n.Wait, n.Failing, n.Node.Rating)
 		if n.Failing > 1 || n.Missing < 0 || n.Down < 0 || n.Node.State > Draining {
-			bad = cmp.Or(bad, fmt.Errorf("memory: node %d cannot be so", i))
+			problem = cmp.Or(problem,
+				fmt.Errorf("memory: node %d: failure share, count, pause or state is out of range", i))
 		}
 		for _, p := range append(slices.Clone(n.SentLog), n.Served...) {
-			positive("log of node", i, p.Units)
+			nonNegative("log of node", i, p.Units)
 		}
 	}
 	for i, v := range m.Volumes {
-		ok("volume", i, v.Balance, v.Store)
-		positive("volume", i, v.OnTheWay, v.Attached, v.Share, v.Own.Units, v.Others.Units, v.Total)
+		finite("volume", i, v.Balance, v.Store)
+		nonNegative("volume", i, v.OnTheWay, v.Attached, v.Share, v.Own.Units, v.Others.Units, v.Total)
 	}
-	return bad
+	return problem
 }
 
-// Remember gives a new host what it or an earlier one has learned. It must come before the first Step, at the time
-// of that Step. Nodes are not in use before a list names them; volumes of plans that are not there are left out.
+// Remember restores in a new host what an earlier process has learned. It must be called before the first Step, with
+// the time of that Step. Nodes are not used before a node list names them; volumes of unknown plans are skipped.
 func (h *Host) Remember(now Micros, m Memory) error {
 	if h.started {
-		return fmt.Errorf("memory: the host has begun already")
+		return fmt.Errorf("memory: the host has already started")
 	}
 	if err := m.Check(); err != nil {
 		return err
 	}
-	at := func(age Micros) Micros {
+	toTime := func(age Micros) Micros {
 		if age >= Never/2 || now-age <= 0 {
 			return 0
 		}
 		return now - age
 	}
-	back := func(p Past) decayingSum {
+	toSum := func(p Past) decayingSum {
 		if p.Age >= Never/2 {
 			return decayingSum{}
 		}
 		return decayingSum{p.Units, now - p.Age}
 	}
-	backs := func(l []Past) (out unitLog) {
+	toLog := func(l []Past) (out unitLog) {
 		for _, p := range l {
 			out.add(now-p.Age, p.Units)
 		}
@@ -190,7 +197,8 @@
 		}
 		h.pcg, h.rng = pcg, rand.New(pcg)
 	}
-	h.meanWait, h.meanWaitAt, h.lossShare, h.unitTime, h.virtualTime, h.rotation = m.Waits, at(m.WaitsAge), m.Vanish, m.Unit, m.Spare, m.Turns
+	h.meanWait, h.meanWaitAt, h.lossShare, h.unitTime, h.virtualTime, h.rotation = m.Waits, toTime(m.WaitsAge),
+		m.Vanish, m.Unit, m.Spare, m.Turns
 	for _, age := range m.Taken {
 		h.recentArrivals = append(h.recentArrivals, now-age)
 	}
@@ -198,11 +206,14 @@
 		h.recentRetries = append(h.recentRetries, now-age)
 	}
 	for _, x := range m.Nodes {
-		n := &node{Node: x.Node, window: x.Window, reducedAt: [2]Micros{at(x.Halved[0]), at(x.Halved[1])}, missingAnswers: x.Missing,
-			backoffUntil: at(x.Rest), latency: x.Latency, lastActive: at(x.Last), sentAt: at(x.Sent), wait: x.Wait, waitAt: at(x.WaitAge),
-			connectBackoff: x.Down, connectFailedAt: at(x.DownAge), presumedStart: at(x.Revived), failureShare: x.Failing, sentLog: backs(x.SentLog),
-			servedLog: backs(x.Served)}
-		n.Started, n.State = at(x.Node.Started), Gone
+		n := &node{Node: x.Node, window: x.Window, reducedAt: [2]Micros{toTime(x.Halved[0]), toTime(x.Halved[1])},
+			missingAnswers: x.Missing,
+			backoffUntil: toTime(x.Rest), latency: x.Latency, lastActive: toTime(x.Last), sentAt: toTime(x.Sent),
+			wait: x.Wait, waitAt: toTime(x.WaitAge),
+			connectBackoff: x.Down, connectFailedAt: toTime(x.DownAge), presumedStart: toTime(x.Revived),
+			failureShare: x.Failing, sentLog: toLog(x.SentLog),
+			servedLog: toLog(x.Served)}
+		n.Started, n.State = toTime(x.Node.Started), Gone
 		if h.nodes[n.ID] == nil {
 			h.nodes[n.ID] = n
 			h.sortedNodes = append(h.sortedNodes, n)
@@ -217,11 +228,13 @@
 			continue
 		}
 		plan := &h.settings.Plans[x.Plan]
-		v := &volume{id: x.ID, plan: plan, attached: x.Attached, balance: x.Balance, creditedAt: at(x.Credited), virtualTime: x.Share,
-			lastUsed: at(x.Last), ownRate: back(x.Own), otherRate: back(x.Others), totalRate: x.Total, totalRateAt: at(x.TotalAge)}
-		// What has been drawn since is not known: as at a start without memory, the slice is at its lowest.
+		v := &volume{id: x.ID, plan: plan, attached: x.Attached, balance: x.Balance, creditedAt: toTime(x.Credited),
+			virtualTime: x.Share,
+			lastUsed: toTime(x.Last), ownRate: toSum(x.Own), otherRate: toSum(x.Others), totalRate: x.Total,
+			totalRateAt: toTime(x.TotalAge)}
+		// If what was drawn since is not known, the share starts at its lowest level, as without a memory.
 		if v.tokens, v.tokensAt = -plan.LimitSlack/x.Attached, now; x.Known {
-			v.tokens, v.tokensAt = min(x.Store, plan.LimitBurst/x.Attached), at(x.Stored)
+			v.tokens, v.tokensAt = min(x.Store, plan.LimitBurst/x.Attached), toTime(x.Stored)
 		}
 		if x.OnTheWay > 0 {
 			h.abandon(v, x.OnTheWay, now)
--- a/logic/retrybudget.go
+++ b/logic/retrybudget.go
@@ -2,7 +2,7 @@
 
 // The retry budget. The interface of this module is in logic/api.go.
 
-// budgetAllows keeps further attempts within the budget over every window.
+// budgetAllows reports whether one more retry keeps the number of retries in every window within the budget.
 func (h *Host) budgetAllows() bool {
 	rules := &h.settings.Rules
 	if rules.BudgetWindow <= 0 {
@@ -14,5 +14,6 @@
 	for len(h.recentRetries) > 0 && h.now-h.recentRetries[0] > rules.BudgetWindow {
 		h.recentRetries = h.recentRetries[1:]
 	}
-	return float64(len(h.recentRetries)+1) <= rules.BudgetFree+rules.BudgetPerTake*float64(len(h.recentArrivals))
+	return float64(len(h.recentRetries)+1) <=
+		rules.BudgetFree+rules.BudgetPerTake*float64(len(h.recentArrivals))
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -1,6 +1,6 @@
 package logic
 
-// What a host remembers, and the sums it is kept in. Nothing is decided here.
+// The state of a host and the data structures that hold it. This file takes no scheduling decisions.
 
 import (
 	"cmp"
@@ -9,54 +9,55 @@
 	"slices"
 )
 
-// Host is one initiator's scheduler. It is not safe for concurrent use.
+// Host is the scheduler of one initiator. It is not safe for concurrent use.
 type Host struct {
 	settings          Settings
 	pcg               *rand.PCG
 	rng               *rand.Rand
 	now               Micros
-	previousStep      Micros // the Step before this one
-	startedAt         Micros // first Step; 0 before it
+	previousStep      Micros // time of the Step before the current one
+	startedAt         Micros // time of the first Step; 0 before it
 	started           bool
 	actions           []Action
 	requests          map[RequestID]*request
 	volumes           map[VolumeID]*volume
-	roundRobin        []*volume // in order of creation, visited from turn on
+	roundRobin        []*volume // in order of creation; each round starts one volume later
 	rotation          int
-	virtualTime       float64 // virtual time of the second pass
+	virtualTime       float64 // virtual time of the second pass, the largest at which a volume was served
 	nodes             map[NodeID]*node
-	sortedNodes       []*node         // by id
-	nodesByCell       map[int][]*node // by id for each shard
+	sortedNodes       []*node         // sorted by id
+	nodesByCell       map[int][]*node // nodes of each shard, sorted by id
 	keyQueues         map[uint64]*keyQueue
-	minAim            Micros  // the shortest aim of any class
-	meanWait          float64 // smoothed wait at all nodes, at waitsAt
+	minAim            Micros  // shortest aim of any class
+	meanWait          float64 // smoothed wait at all nodes in Micros, as of meanWaitAt
 	meanWaitAt        Micros
 	lossShare         float64 // smoothed share of lost attempts among those that waited for long
-	unitTime          float64 // time of a unit where nothing waits, in Micros; 0: not seen
+	unitTime          float64 // service time of one unit without waiting, in Micros; 0: not known
 	seq               uint64
-	earliestNewObject map[bool]Micros      // soonest a new object could leave, late or not, as this Step has found
-	unserved          map[signature]Micros // when what went unserved came, until its repeat is here
-	unservedByEnd     []*request           // the same in the order they ended
-	heldCount         int                  // requests without an attempt out that are owed an answer
-	unanswered        int                  // all that are owed one
-	maxUnanswered     int                  // how many may be; 0: no bound
+	earliestNewObject map[bool]Micros      // cached for this Step: earliest send of a new object, by late
+	unserved          map[signature]Micros // first arrival of unserved requests, until the client repeats them
+	unservedByEnd     []*request           // the same requests in the order in which they ended
+	heldCount         int                  // unanswered requests that wait for an attempt
+	unanswered        int                  // requests that still need a final answer
+	maxUnanswered     int                  // upper bound of unanswered; 0: no bound
 	wakeAt            Micros
 	token             uint32
-	subscribeAt       Micros // subscribe mode: time of the next ask; 0: subscribed
+	subscribeAt       Micros // subscribe mode: time of the next attempt to subscribe; 0: subscribed
 	subscribeDelay    Micros
-	recentArrivals    []Micros         // arrivals in the budget's window
-	recentRetries     []Micros         // further attempts in it
-	abandoned         []abandonedUnits // the first to be forgotten first
+	recentArrivals    []Micros         // times of arrivals within the retry budget's window
+	recentRetries     []Micros         // times of retries within the same window
+	abandoned         []abandonedUnits // ordered by expiry
 }
 
-// abandonedUnits is the units of a request that is over, whose attempt was given up and may still arrive.
+// abandonedUnits are the charged units of a finished request whose attempt was given up and may still reach
+// a node.
 type abandonedUnits struct {
 	vol   *volume
 	units float64
 	until Micros
 }
 
-// request is a request from its arrival until it is over and has no attempt out.
+// request is kept from its arrival until it is finished and has no attempt in flight.
 type request struct {
 	id              RequestID
 	seq             uint64
@@ -66,33 +67,33 @@
 	key             uint64
 	units           float64
 	arrivedAt       Micros
-	firstAskedAt    Micros // when its client first asked, as far as is known
+	firstAskedAt    Micros // when the client first sent it, as far as is known
 	aimAt           Micros
 	deadline        Micros
 	attempts        []*attempt
-	earlierAttempts int // attempts before it came here
+	earlierAttempts int // attempts made under other ids before it arrived here
 	singleAttempt   bool
 	homeZoneOnly    bool
 	inFlight        int
-	queued          bool // in a lane of its volume
-	held            bool // held: owed an answer, no attempt out
+	queued          bool // is in a queue of its volume
+	held            bool // unanswered and waiting for an attempt
 	finished        bool
 	streaming       bool
-	charged         bool // has drawn on the limit
-	pending         bool // and no node is known to have seen it
-	maybeSeen       bool // one may have
-	mayStillArrive  bool // an attempt was given up and may still arrive
+	charged         bool // units of the attempts in flight were taken from the limit
+	pending         bool // charged, and no node is known to have seen it
+	maybeSeen       bool // a node may have seen it
+	mayStillArrive  bool // an attempt was given up and may still reach its node
 	notBefore       Micros
-	mayHaveRun      bool // an attempt may have run
+	mayHaveRun      bool // an attempt may have run on a node on a node
 	dedupNode       *node
-	retryUntil      Micros // a repeat must be sent before this
+	retryUntil      Micros // a retry must be sent before this
 	keyQueue        *keyQueue
 }
 
-// attemptCount is how many attempts were made.
+// attemptCount returns the number of attempts made, including those before the request arrived here.
 func (r *request) attemptCount() int { return r.earlierAttempts + len(r.attempts) }
 
-// signature is all that a request and its client's repeat have in common.
+// signature holds the properties that a request shares with a repeat of it by its client.
 type signature struct {
 	vol   *volume
 	class *Class
@@ -107,31 +108,31 @@
 	req           *request
 	node          *node
 	sentAt        Micros
-	lost          bool // given up for lost: it holds no place in the window any more
-	duringStall   bool // the host stood still while it was out
-	overtaken     bool // one sent later was answered after it had waited for long
+	lost          bool // taken for lost: it no longer counts against the window
+	duringStall   bool // the host stalled while it was in flight
+	overtaken     bool // had waited for long when a later one was answered
 	ended         bool
-	waitDoublings int // doublings of its wait that have shut windows
+	waitDoublings int // doublings of its wait that have shrunk windows
 }
 
-// volume is one queue: a balance in units and a lane for each shard its requests wait for.
+// volume is one schedulable queue: a balance in units and one cellQueue for each shard with requests.
 type volume struct {
 	id           VolumeID
 	plan         *Plan
 	attached     float64
 	balance      float64
 	creditedAt   Micros
-	virtualTime  float64 // virtual time in the second pass
+	virtualTime  float64 // virtual time in the second pass: units sent per weight: units sent per weight
 	queues       []*cellQueue
 	queueLength  int
-	liveRequests int // requests not forgotten
+	liveRequests int // requests that are still kept
 	lastUsed     Micros
-	tokens       float64 // the host's slice of the limit
+	tokens       float64 // what this host's share of the limit holds, as of tokensAt
 	tokensAt     Micros
 	pending      float64     // units charged that no node is known to have seen
-	abandoned    float64     // and those of requests that are over and may still arrive
+	abandoned    float64     // units charged for finished requests that may still reach a node
 	ownRate      decayingSum // units served through this host
-	otherRate    decayingSum // units told as served through other hosts
+	otherRate    decayingSum // units that answers report as served through other hosts
 	totalRate    float64
 	totalRateAt  Micros
 }
@@ -141,7 +142,7 @@
 	requests []*request
 }
 
-// decayingSum is an exponentially decaying sum, read as units a second over the span it decays in.
+// decayingSum is an exponentially decaying sum that is read as units a second over its decay span.
 type decayingSum struct {
 	sum float64
 	at  Micros
@@ -158,27 +159,27 @@
 
 type node struct {
 	Node
-	window          [2]float64 // for each pass
+	window          [2]float64 // for each pass: how many requests this host may have in flight
 	reducedAt       [2]Micros
-	inFlight        []*attempt // out from this host and not lost
-	unitsInFlight   float64    // their units
-	missingAnswers  int        // time-outs since its last answer
-	backoffUntil    Micros     // left alone until then
-	latency         float64    // smoothed time of answers, in Micros
-	lastActive      Micros     // last send or answer
-	sentAt          Micros     // last send
-	wait            float64    // what the last answer waited at the node, in Micros
+	inFlight        []*attempt // attempts of this host in flight, without lost ones
+	unitsInFlight   float64    // units of the attempts in flight
+	missingAnswers  int        // attempts timed out or overtaken since its last answer
+	backoffUntil    Micros     // nothing is sent before this
+	latency         float64    // smoothed response time, in Micros
+	lastActive      Micros     // time of the last send or answer
+	sentAt          Micros     // time of the last send
+	wait            float64    // how long the last answered request waited at the node, in Micros
 	waitAt          Micros
-	waitAssumed     bool   // no answer told that wait, but one that did not come
-	connectBackoff  Micros // pause after connections failed; 0: they do not
+	waitAssumed     bool   // wait comes from an overdue answer, not from one that arrived
+	connectBackoff  Micros // pause after failed connections; 0: connections succeed
 	connectFailedAt Micros
-	presumedStart   Micros  // when its process may have started, going by its connections
-	failureShare    float64 // smoothed share of attempts that failed
+	presumedStart   Micros  // when its process may have restarted, judging by its connections
+	failureShare    float64 // smoothed share of failed attempts
 	sentLog         unitLog // units sent within the overload time
-	servedLog       unitLog // and served
+	servedLog       unitLog // units served within the overload time
 }
 
-// unitLog is what happened lately, in units.
+// unitLog records recent events with their units.
 type unitLog []struct {
 	at    Micros
 	units float64
@@ -191,7 +192,7 @@
 	}{now, units})
 }
 
-// sumSince drops what is older and sums the rest.
+// sumSince drops entries older than t and returns the units of the rest.
 func (l *unitLog) sumSince(t Micros) (sum float64) {
 	keep := (*l)[:0]
 	for _, e := range *l {
@@ -204,13 +205,13 @@
 	return sum
 }
 
-// keyQueue holds the requests of one key that must run in turn; the first is the one whose turn it is.
+// keyQueue holds the requests of one key, which run one at a time in the order of arrival; the first runs next.
 type keyQueue struct {
 	requests    []*request
-	pausedUntil Micros // the key rests until then
+	pausedUntil Micros // no request of the key is sent before this
 }
 
-// setHeld counts the requests that wait for an attempt.
+// setHeld marks whether a request waits for an attempt and keeps heldCount up to date.
 func (h *Host) setHeld(r *request, on bool) {
 	if r.held != on {
 		r.held = on
@@ -222,7 +223,7 @@
 	}
 }
 
-// push puts a request at the end of its volume's lane for its shard.
+// push appends a request to the queue of its shard.
 func (v *volume) push(r *request) {
 	i := slices.IndexFunc(v.queues, func(l *cellQueue) bool { return l.cell == r.cell })
 	if i < 0 {
@@ -234,13 +235,14 @@
 	r.queued = true
 }
 
-// sortByArrival sorts requests by their turn of arrival.
+// sortByArrival sorts q in place by arrival and returns it.
 func sortByArrival(q []*request) []*request {
 	slices.SortFunc(q, func(a, b *request) int { return cmp.Compare(a.seq, b.seq) })
 	return q
 }
 
-// recordUnserved remembers a request that went unserved, until its client has given up all its tries.
+// recordUnserved remembers a request that went unserved until its class's deadline has passed, after which its
+// client does not repeat it.
 func (h *Host) recordUnserved(r *request) {
 	if r.finished {
 		return
@@ -255,7 +257,7 @@
 	}
 }
 
-// dequeue takes a request out of its lane.
+// dequeue removes a request from its queue, if it is in one.
 func (h *Host) dequeue(r *request) {
 	if !r.queued {
 		return
@@ -272,7 +274,7 @@
 	}
 }
 
-// removeInFlight takes an attempt out of the window.
+// removeInFlight removes an attempt from those that count against the window.
 func (n *node) removeInFlight(a *attempt) {
 	for i, x := range n.inFlight {
 		if x == a {
@@ -282,7 +284,8 @@
 	}
 }
 
-// unitsInFlightBefore is the units that left before the given time and may still arrive at the node.
+// unitsInFlightBefore returns the units sent before the given time that are unanswered and may still reach the
+// node.
 func (n *node) unitsInFlightBefore(before Micros) (units float64) {
 	for _, a := range n.inFlight {
 		if a.sentAt < before {
