--- a/logic/memory.go
+++ b/logic/memory.go
@@ -102,7 +102,7 @@
 	for _, n := range h.sortedNodes {
 		x := NodeMemory{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.reducedAt[0]), age(n.reducedAt[1])},
 			Missing: n.missingAnswers,
-			Rest: age(n.backoffUntil), Latency: n.latency, Last: age(n.lastActive), Sent: age(n.sentAt),
+			Rest:    age(n.backoffUntil), Latency: n.latency, Last: age(n.lastActive), Sent: age(n.sentAt),
 			Wait: n.wait, WaitAge: age(n.waitAt),
 			Down: n.connectBackoff, DownAge: age(n.connectFailedAt), Revived: age(n.presumedStart),
 			Failing: n.failureShare, SentLog: toPasts(n.sentLog),
@@ -208,7 +208,7 @@
 	for _, x := range m.Nodes {
 		n := &node{Node: x.Node, window: x.Window, reducedAt: [2]Micros{toTime(x.Halved[0]), toTime(x.Halved[1])},
 			missingAnswers: x.Missing,
-			backoffUntil: toTime(x.Rest), latency: x.Latency, lastActive: toTime(x.Last), sentAt: toTime(x.Sent),
+			backoffUntil:   toTime(x.Rest), latency: x.Latency, lastActive: toTime(x.Last), sentAt: toTime(x.Sent),
 			wait: x.Wait, waitAt: toTime(x.WaitAge),
 			connectBackoff: x.Down, connectFailedAt: toTime(x.DownAge), presumedStart: toTime(x.Revived),
 			failureShare: x.Failing, sentLog: toLog(x.SentLog),
@@ -230,7 +230,7 @@
 		plan := &h.settings.Plans[x.Plan]
 		v := &volume{id: x.ID, plan: plan, attached: x.Attached, balance: x.Balance, creditedAt: toTime(x.Credited),
 			virtualTime: x.Share,
-			lastUsed: toTime(x.Last), ownRate: toSum(x.Own), otherRate: toSum(x.Others), totalRate: x.Total,
+			lastUsed:    toTime(x.Last), ownRate: toSum(x.Own), otherRate: toSum(x.Others), totalRate: x.Total,
 			totalRateAt: toTime(x.TotalAge)}
 		// If what was drawn since is not known, the share starts at its lowest level, as without a memory.
 		if v.tokens, v.tokensAt = -plan.LimitSlack/x.Attached, now; x.Known {
