--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,8 +6,8 @@
 	"appleplank/logic"
 )
 
-// An initiator of one's own: hand events to Step, carry out what comes back. Here one request goes to the
-// node that holds its shard, and a second waits until a request of the first kind has been answered.
+// A minimal initiator passes events to Step and carries out the returned actions. One request is sent to the node
+// that holds its shard; a request for a shard without a node is refused until a node for it is listed.
 func Example() {
 	host, err := logic.New(logic.Settings{
 		Hosts:   2,
@@ -25,7 +25,7 @@
 			case logic.Deny:
 				fmt.Printf("%d us: refuse request %d\n", now, a.Request)
 			case logic.Wake:
-				// start a timer; hand TimerFired{a.Token} to Step when it ends
+				// start a timer; pass TimerFired{a.Token} to Step when it fires
 			}
 		}
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -14,15 +14,15 @@
 	"unicode/utf8"
 )
 
-// bench is a host with nodes 1, 2, ... holding the shards 0, 1, ...
-type bench struct {
+// fixture is a host with nodes 1, 2, ... that hold the shards 0, 1, ...
+type fixture struct {
 	t    *testing.T
 	h    *Host
 	now  Micros
 	next RequestID
 }
 
-func plain() Settings {
+func testSettings() Settings {
 	return Settings{
 		Hosts: 2, Tick: 2 * ms, UnitTop: 6,
 		Classes: []Class{
@@ -43,20 +43,20 @@
 	}
 }
 
-// four has hosts enough for the usual windows.
-func four() Settings {
-	s := plain()
+// fourHostSettings has enough hosts for the usual windows.
+func fourHostSettings() Settings {
+	s := testSettings()
 	s.Hosts = 4
 	return s
 }
 
-func newBench(t *testing.T, s Settings, nodes int) *bench {
+func newFixture(t *testing.T, s Settings, nodes int) *fixture {
 	t.Helper()
 	h, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, h: h, now: 10 * sec}
+	b := &fixture{t: t, h: h, now: 10 * sec}
 	list := NodeList{Kind: ListCached}
 	for i := range nodes {
 		list.Nodes = append(list.Nodes, Node{ID: NodeID(i + 1), Cell: i, State: Ready})
@@ -65,23 +65,23 @@
 	return b
 }
 
-func (b *bench) step(events ...Event) []Action { return b.h.Step(b.now, events, nil) }
+func (b *fixture) step(events ...Event) []Action { return b.h.Step(b.now, events, nil) }
 
-func (b *bench) after(d Micros, events ...Event) []Action {
+func (b *fixture) after(d Micros, events ...Event) []Action {
 	b.now += d
 	return b.step(events...)
 }
 
-// wait lets time pass in cycles, as a host that does not stand still sees it.
-func (b *bench) wait(d Micros) (all []Action) {
+// advance lets time pass in cycles, as a host that does not stall sees it.
+func (b *fixture) advance(d Micros) (all []Action) {
 	for end := b.now + d; b.now < end; {
 		all = append(all, b.after(min(cycle, end-b.now), TimerFired{})...)
 	}
 	return all
 }
 
-// ask makes an arrival at shard 0 of the volume numbered like its plan; change what differs.
-func (b *bench) ask(class, plan int, change ...func(*Arrival)) Arrival {
+// arrival returns a request at shard 0 of the volume with the number of its plan, after applying change.
+func (b *fixture) arrival(class, plan int, change ...func(*Arrival)) Arrival {
 	b.next++
 	a := Arrival{Request: b.next, Class: class, Volume: VolumeID(plan), Plan: plan, Attached: 1, Units: 1,
 		DropDead: b.now + b.h.settings.Classes[min(class, len(b.h.settings.Classes)-1)].Deadline}
@@ -91,13 +91,13 @@
 	return a
 }
 
-func units(u float64) func(*Arrival)    { return func(a *Arrival) { a.Units = u } }
-func patience(d Micros) func(*Arrival)  { return func(a *Arrival) { a.DropDead += d - 4*sec } }
-func cell(c int) func(*Arrival)         { return func(a *Arrival) { a.Cell = c } }
-func key(k uint64) func(*Arrival)       { return func(a *Arrival) { a.Key = k } }
-func attached(n float64) func(*Arrival) { return func(a *Arrival) { a.Attached = n } }
+func units(u float64) func(*Arrival)       { return func(a *Arrival) { a.Units = u } }
+func withPatience(d Micros) func(*Arrival) { return func(a *Arrival) { a.DropDead += d - 4*sec } }
+func cell(c int) func(*Arrival)            { return func(a *Arrival) { a.Cell = c } }
+func key(k uint64) func(*Arrival)          { return func(a *Arrival) { a.Key = k } }
+func attached(n float64) func(*Arrival)    { return func(a *Arrival) { a.Attached = n } }
 
-func end(id RequestID, attempt int, node NodeID, how Outcome) AttemptEnded {
+func attemptEnded(id RequestID, attempt int, node NodeID, how Outcome) AttemptEnded {
 	return AttemptEnded{Request: id, Attempt: attempt, Node: node, Outcome: how, Settled: how == OK, Load: NoLoad}
 }
 
@@ -119,14 +119,15 @@
 	return false
 }
 
-// fill takes both places of node 1's first window with requests of a plan that is not under test.
-func (b *bench) fill() {
+// fillWindow fills node 1's first window with requests of a plan that is not under test.
+func (b *fixture) fillWindow() {
 	for range int(b.h.maxWindow()) {
-		b.step(b.ask(0, 4))
+		b.step(b.arrival(0, 4))
 	}
 }
 
-// The deployment names each file that decides as policy, and each of them opens by naming the interface.
+// TestPolicyNamesEachFileThatDecides: the deployment lists each file that takes decisions as policy, and each of them
+// names the interface at its beginning.
 func TestPolicyNamesEachFileThatDecides(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -164,7 +165,7 @@
 }
 
 func TestCreditOnlyWhileWaiting(t *testing.T) {
-	b := newBench(t, plain(), 1)
+	b := newFixture(t, testSettings(), 1)
 	shut := func(w float64) { b.h.sortedNodes[0].window = [2]float64{w, w} }
 	balance := func(want float64, why string) {
 		t.Helper()
@@ -174,9 +175,9 @@
 	}
 	shut(1)
 	b.h.unitTime = float64(ms)
-	b.step(b.ask(1, 3)) // takes the only place
+	b.step(b.arrival(1, 3)) // fills the window
 	b.h.sortedNodes[0].inFlight[0].duringStall = true
-	b.step(b.ask(1, 0, units(4)))
+	b.step(b.arrival(1, 0, units(4)))
 	balance(0, "nothing is earned by arriving")
 	b.after(100*ms, TimerFired{})
 	balance(1, "100 ms at 10 units a second")
@@ -185,29 +186,29 @@
 	shut(8)
 	b.step(TimerFired{})
 	balance(2, "a send is charged its told units at once")
-	b.after(sec, end(2, 0, 1, OK))
+	b.after(sec, attemptEnded(2, 0, 1, OK))
 	balance(2, "a queue that does not wait earns nothing")
 	shut(1)
-	b.step(b.ask(1, 0, units(4)))
+	b.step(b.arrival(1, 0, units(4)))
 	b.after(sec/10, TimerFired{})
 	balance(3, "and begins to earn when it waits again")
 }
 
-// TestSecondPassShares fills a node and counts who gets its places once all balances are spent.
+// TestSecondPassShares fills a node and counts which volumes are served once all balances are spent.
 func TestSecondPassShares(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		plans [2]int
-		want  float64 // of the second to the first
+		want  float64 // ratio of the second plan to the first
 	}{
 		{"by reservation", [2]int{0, 1}, 3},
 		{"by plan weight where there is none", [2]int{3, 4}, 2},
 	} {
-		b := newBench(t, plain(), 1)
+		b := newFixture(t, testSettings(), 1)
 		owner := map[RequestID]int{}
 		for range 200 {
 			for _, p := range c.plans {
-				a := b.ask(0, p)
+				a := b.arrival(0, p)
 				owner[a.Request] = p
 				b.h.Step(b.now, []Event{a}, nil)
 			}
@@ -215,7 +216,7 @@
 		got := map[int]float64{}
 		out := []RequestID{1, 2}
 		for range 60 {
-			for _, id := range sends(b.step(end(out[0], 0, 1, OK))) {
+			for _, id := range sends(b.step(attemptEnded(out[0], 0, 1, OK))) {
 				out = append(out, id)
 				got[owner[id]]++
 			}
@@ -254,10 +255,10 @@
 			v.totalRate, v.totalRateAt = 20, now-maxRateAge
 		}, 10},
 	} {
-		s := plain()
+		s := testSettings()
 		s.TellsElsewhere, s.UsePeriod, s.Hosts = c.elsewhere, c.period, 3
-		b := newBench(t, s, 1)
-		b.step(b.ask(0, 1, attached(3)))
+		b := newFixture(t, s, 1)
+		b.step(b.arrival(0, 1, attached(3)))
 		v := b.h.volumes[1]
 		c.told(v, b.now)
 		if got := b.h.reservation(v); math.Abs(got-c.want) > 1e-6 {
@@ -284,42 +285,40 @@
 		{"grows by a part of a round trip, to the ceiling", 50 * ms, OK, 1.5, [2]float64{2, 2}},
 		{"doubles under one", 50 * ms, OK, 0.1, [2]float64{0.2, 0.2}},
 	} {
-		s := plain()
+		s := testSettings()
 		s.Hosts = 100
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		n := b.h.sortedNodes[0]
-		b.step(b.ask(0, 0))
+		b.step(b.arrival(0, 0))
 		b.h.unitTime, n.window = 10*float64(ms), [2]float64{c.from, c.from}
 		b.now += c.took
 		b.h.now = b.now
-		b.h.handleAttemptEnded(end(1, 0, 1, c.how))
+		b.h.handleAttemptEnded(attemptEnded(1, 0, 1, c.how))
 		for p, got := range n.window {
 			if math.Abs(got-c.want[p]) > 0.02*c.want[p] {
 				t.Errorf("%s: window of pass %d is %v, want %v", c.name, p, got, c.want[p])
 			}
 		}
 	}
-	b := newBench(t, plain(), 1)
+	b := newFixture(t, testSettings(), 1)
 	b.h.sortedNodes[0].window = [2]float64{8, 8}
-	b.step(b.ask(0, 0), b.ask(0, 0))
-	b.after(30*ms, end(1, 0, 1, Full), end(2, 0, 1, Full))
+	b.step(b.arrival(0, 0), b.arrival(0, 0))
+	b.after(30*ms, attemptEnded(1, 0, 1, Full), attemptEnded(2, 0, 1, Full))
 	if got := b.h.sortedNodes[0].window[0]; got != 4 {
 		t.Errorf("two refusals of one round trip: window %v, want one halving to 4", got)
 	}
 }
 
-// TestWindowUnderOne: with a window of a quarter, one request is out and the next goes only four answer
-// times after it, so that 40 hosts at one node have ten requests there and not 40.
-// TestWindowOfFewHosts: where hosts are few each may have more out, or what a node can bear would idle; all together
-// no more than before.
+// TestWindowOfFewHosts: with few hosts each may have more requests in flight, or capacity of the node would stay
+// unused; all hosts together have no more than before.
 func TestWindowOfFewHosts(t *testing.T) {
 	for hosts, want := range map[int]int{1: 8, 2: 4, 4: 2, 20: 2} {
-		s := plain()
+		s := testSettings()
 		s.Hosts = hosts
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		got := 0
 		for range 12 {
-			got += len(sends(b.step(b.ask(0, 0))))
+			got += len(sends(b.step(b.arrival(0, 0))))
 		}
 		if got != want {
 			t.Errorf("%d hosts: %d out, want %d", hosts, got, want)
@@ -327,19 +326,21 @@
 	}
 }
 
+// TestWindowUnderOne: with a window of a quarter, one request is in flight and the next is sent only four
+// response times after it, so that 40 hosts have ten requests at one node and not 40.
 func TestWindowUnderOne(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Hosts = 100
-	b := newBench(t, s, 1)
+	b := newFixture(t, s, 1)
 	n := b.h.sortedNodes[0]
 	b.h.unitTime, n.latency = 10*float64(ms), 50*float64(ms)
 	n.window = [2]float64{0.25, 0.25}
-	b.step(b.ask(1, 0), b.ask(1, 0))
+	b.step(b.arrival(1, 0), b.arrival(1, 0))
 	if len(n.inFlight) != 1 {
 		t.Fatalf("%d out, want one", len(n.inFlight))
 	}
-	n.window = [2]float64{0.125, 0.125} // an answer that waited nowhere doubles it
-	b.after(20*ms, end(1, 0, 1, OK))
+	n.window = [2]float64{0.125, 0.125} // an answer without any wait doubles it
+	b.after(20*ms, attemptEnded(1, 0, 1, OK))
 	for pause := 20 * ms; pause < 400*ms; pause += 10 * ms {
 		if got := sends(b.after(10*ms, TimerFired{})); len(got) > 0 {
 			if due := Micros(n.latency / 0.25); pause+10*ms < due || pause > due+10*ms {
@@ -351,17 +352,17 @@
 	t.Error("never sent")
 }
 
-// TestStandstill: after its timer came a second late a host learns nothing from what was out, and what it
-// finds has its aim from when it came: one that waited past it goes nowhere, a fresh one goes first.
+// TestStandstill: after a timer that fired a second late the host learns nothing from attempts in flight, and a request
+// found then has its aim from its arrival: one that is past its aim is not sent, a new one is.
 func TestStandstill(t *testing.T) {
-	b := newBench(t, plain(), 2)
+	b := newFixture(t, testSettings(), 2)
 	n := b.h.sortedNodes[0]
-	b.step(b.ask(0, 0))
+	b.step(b.arrival(0, 0))
 	b.h.unitTime = 10 * float64(ms)
 	before := [3]float64{n.window[0], n.window[1], n.wait}
-	old := b.ask(0, 0, cell(1))
+	old := b.arrival(0, 0, cell(1))
 	b.now += sec
-	got := b.step(end(1, 0, 1, OK), old, b.ask(0, 0, cell(1)))
+	got := b.step(attemptEnded(1, 0, 1, OK), old, b.arrival(0, 0, cell(1)))
 	if after := [3]float64{n.window[0], n.window[1], n.wait}; after != before || b.h.unitTime != 10*float64(ms) {
 		t.Errorf("learned %v, unit %v from a standstill, had %v", after, b.h.unitTime, before)
 	}
@@ -370,10 +371,10 @@
 	}
 }
 
-// TestUnitTimeSurvivesAJam: seconds of waits must not teach that work takes long, or after the jam every
-// request would seem too late to be sent.
+// TestUnitTimeSurvivesAJam: long waits must not raise the unit time much, or after a congestion every request would
+// seem too late to be sent.
 func TestUnitTimeSurvivesAJam(t *testing.T) {
-	b := newBench(t, plain(), 1)
+	b := newFixture(t, testSettings(), 1)
 	for range 30 {
 		b.h.updateUnitTime(30 * float64(ms))
 	}
@@ -391,47 +392,47 @@
 	}
 }
 
-// TestNewObjectPassesAFullNode: a new object goes to a busier node when the least loaded one takes nothing.
+// TestNewObjectPassesAFullNode: a new object goes to a busier node if the least loaded one accepts nothing.
 func TestNewObjectPassesAFullNode(t *testing.T) {
-	b := newBench(t, plain(), 2)
+	b := newFixture(t, testSettings(), 2)
 	b.h.unitTime = 10 * float64(ms)
-	b.step(b.ask(0, 0, cell(1), units(6)))
+	b.step(b.arrival(0, 0, cell(1), units(6)))
 	n := b.h.sortedNodes[0]
 	n.connectBackoff, n.connectFailedAt, n.backoffUntil = sec, b.now, b.now+sec
-	a := b.ask(1, 1, cell(-1))
+	a := b.arrival(1, 1, cell(-1))
 	if got := b.step(a); !has(got, Send{Request: a.Request, Node: 2}) {
 		t.Errorf("%v, want a send to node 2: node 1 takes no connections", got)
 	}
 }
 
-// TestUnknownNodeIsTakenToBeLikeTheOthers: after long waits at the nodes that were asked, a node not heard of
-// lately gets no request that would be late there too; news of the node itself, and time, set that right.
+// TestUnknownNodeIsTakenToBeLikeTheOthers: after long waits at other nodes, a node without recent answers gets no
+// request that would be late there too. An answer of the node itself, or time, ends that.
 func TestUnknownNodeIsTakenToBeLikeTheOthers(t *testing.T) {
-	b := newBench(t, plain(), 3)
+	b := newFixture(t, testSettings(), 3)
 	b.h.unitTime = 10 * float64(ms)
 	for range 20 {
 		b.h.recordWait(b.h.sortedNodes[0], 900*float64(ms))
 	}
 	for _, n := range b.h.sortedNodes {
-		n.lastActive = b.now // no rest yet after which a late request might go
+		n.lastActive = b.now // too early for a late request
 	}
-	a := b.ask(0, 4, cell(1))
+	a := b.arrival(0, 4, cell(1))
 	if got := sends(b.step(a)); len(got) != 0 {
 		t.Errorf("sent %v to a node that nothing is known of while the others are jammed", got)
 	}
 	b.h.sortedNodes[2].wait, b.h.sortedNodes[2].waitAt = 0, b.now
-	if got := sends(b.step(b.ask(0, 4, cell(2)))); len(got) != 1 {
+	if got := sends(b.step(b.arrival(0, 4, cell(2)))); len(got) != 1 {
 		t.Error("held a request for a node that has just answered quickly")
 	}
 	b.step(ClientGone{a.Request})
-	b.wait(sec)
-	if got := sends(b.step(b.ask(0, 4, cell(1)))); len(got) != 1 {
+	b.advance(sec)
+	if got := sends(b.step(b.arrival(0, 4, cell(1)))); len(got) != 1 {
 		t.Error("still held after the jam has had its time to drain")
 	}
 }
 
-// TestVanishedAnswers: time-outs between quick answers say that answers vanish; then a request that waits
-// for long is sent again and shuts nothing. Time-outs in a row without answers are a node that hangs.
+// TestVanishedAnswers: time-outs between quick answers mean that answers get lost; then a request that waits for long
+// is sent again and shrinks no window. Time-outs in a row without answers mean that the node hangs.
 func TestVanishedAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -441,69 +442,69 @@
 		{"every second one lost", []Outcome{OK, TimedOut, OK, TimedOut, OK, TimedOut, OK, TimedOut, OK}, true},
 		{"a node hangs", []Outcome{OK, TimedOut, TimedOut, TimedOut, TimedOut, TimedOut, OK}, false},
 	} {
-		s := plain()
+		s := testSettings()
 		s.SecondCopies, s.MaxAttempts = true, 4
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		n := b.h.sortedNodes[0]
 		for _, how := range c.in {
 			n.window, n.wait, n.backoffUntil = [2]float64{2, 2}, 0, 0
-			a := b.ask(0, 4)
+			a := b.arrival(0, 4)
 			b.step(a)
 			took := 20 * ms
 			if how == TimedOut {
 				took = 300 * ms
 			}
-			b.wait(took)
-			b.step(end(a.Request, 0, 1, how), ClientGone{a.Request}, end(a.Request, 1, 1, Cancelled))
+			b.advance(took)
+			b.step(attemptEnded(a.Request, 0, 1, how), ClientGone{a.Request}, attemptEnded(a.Request, 1, 1, Cancelled))
 		}
 		n.window, n.wait = [2]float64{2, 2}, 0
-		b.step(b.ask(0, 4))
-		got := b.wait(300 * ms)
+		b.step(b.arrival(0, 4))
+		got := b.advance(300 * ms)
 		if (len(sends(got)) == 1) != c.copied || (n.window[0] < 1) == c.copied && b.h.minWindow() < 1 {
 			t.Errorf("%s: copies %v, window %v, vanish %v, %d out", c.name, sends(got), n.window, b.h.lossShare, len(n.inFlight))
 		}
 	}
 }
 
-// TestWaitWithoutAnswerShuts: a request that is out for long shuts the windows before its answer comes.
+// TestWaitWithoutAnswerShuts: a request in flight for long shrinks the windows before its answer arrives.
 func TestWaitWithoutAnswerShuts(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Hosts = 100
-	b := newBench(t, s, 1)
+	b := newFixture(t, s, 1)
 	b.h.unitTime, b.h.sortedNodes[0].window = 10*float64(ms), [2]float64{2, 2}
-	b.step(b.ask(0, 0))
-	b.wait(450 * ms)
+	b.step(b.arrival(0, 0))
+	b.advance(450 * ms)
 	if got := b.h.sortedNodes[0].window; got != [2]float64{0.5, 0.5} {
 		t.Errorf("windows %v after twice the part of the aim, want two halvings", got)
 	}
 }
 
 func TestFullNodeBlocksNobodyElse(t *testing.T) {
-	b := newBench(t, plain(), 2)
-	b.fill()
-	first, second := b.ask(0, 0), b.ask(0, 0, cell(1))
+	b := newFixture(t, testSettings(), 2)
+	b.fillWindow()
+	first, second := b.arrival(0, 0), b.arrival(0, 0, cell(1))
 	if got := sends(b.step(first, second)); !reflect.DeepEqual(got, []RequestID{second.Request}) {
 		t.Errorf("sent %v, want the request for the other node", got)
 	}
 }
 
 func TestClassWorthMostLeads(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	b.fill()
-	low, high := b.ask(1, 0), b.ask(0, 0)
+	b := newFixture(t, testSettings(), 1)
+	b.fillWindow()
+	low, high := b.arrival(1, 0), b.arrival(0, 0)
 	b.step(low, high)
-	if got := sends(b.step(end(1, 0, 1, OK))); !reflect.DeepEqual(got, []RequestID{high.Request}) {
+	if got := sends(b.step(attemptEnded(1, 0, 1, OK))); !reflect.DeepEqual(got, []RequestID{high.Request}) {
 		t.Errorf("sent %v, want %v", got, high.Request)
 	}
 }
 
-// TestLateWaits: a request past its aim goes only to a node left alone for a while.
+// TestLateWaits: a request past its aim goes only to a node with which nothing was exchanged for a while.
 func TestLateWaits(t *testing.T) {
-	b := newBench(t, four(), 1)
-	b.fill()
-	b.step(b.ask(0, 0))
+	b := newFixture(t, fourHostSettings(), 1)
+	b.fillWindow()
+	b.step(b.arrival(0, 0))
 	b.now += 500 * ms
-	got := b.step(end(1, 0, 1, OK), end(2, 0, 1, OK))
+	got := b.step(attemptEnded(1, 0, 1, OK), attemptEnded(2, 0, 1, OK))
 	if len(sends(got)) != 0 {
 		t.Errorf("sent late requests %v at once", sends(got))
 	}
@@ -513,24 +514,24 @@
 }
 
 func TestNewObjectsGoWhereLoadIsLeast(t *testing.T) {
-	b := newBench(t, plain(), 3)
-	b.step(b.ask(0, 0, cell(0)))
+	b := newFixture(t, testSettings(), 3)
+	b.step(b.arrival(0, 0, cell(0)))
 	b.h.nodes[2].failureShare = 1
-	a := b.ask(0, 0, cell(-1))
+	a := b.arrival(0, 0, cell(-1))
 	if got := b.step(a); !has(got, Send{Request: a.Request, Node: 3}) {
 		t.Errorf("%v, want a send to node 3: 1 is busy, 2 fails", got)
 	}
 }
 
 func TestLimitSlice(t *testing.T) {
-	// The slice of two hosts is 5 units a second, 10 at most, and may go 2 below zero. It starts at its
-	// lowest: what a host before this one spent is unknown.
-	b := newBench(t, plain(), 9)
+	// The share of each of two hosts is 5 units a second, 10 at most, and may go 2 below zero. It starts at its
+	// lowest: what an earlier process of the host drew is unknown.
+	b := newFixture(t, testSettings(), 9)
 	n := 0
 	ask := func(d Micros, u float64) int {
 		n++
 		b.now += d
-		return len(sends(b.step(b.ask(0, 2, attached(2), units(u), cell(n%9)))))
+		return len(sends(b.step(b.arrival(0, 2, attached(2), units(u), cell(n%9)))))
 	}
 	if ask(0, 1) != 0 {
 		t.Error("sent at once after a start")
@@ -552,47 +553,47 @@
 	}
 }
 
-// Limited says why: only while the slice cannot hold the units, and only where there is a limit.
-// What reaches nodes keeps the limit, however late it comes there: a request whose connection is coming up keeps its place
-// in the slice, which refills no further, until a node may have seen it or it is over, which gives back what it drew.
-// Charged at their first send alone, such requests broke the limit on the operators' short days.
+// TestLimitCountsWhatReachesNodes: what reaches nodes keeps the limit, however late it arrives. A request whose
+// connection is being set up reduces the capacity of the share until a node may have seen it, or until it is finished,
+// which returns its units. Charged at their first send only, such requests broke the limit on short runs.
 func TestLimitCountsWhatReachesNodes(t *testing.T) {
-	const silence = Outcome(99) // nothing is heard of it
+	const silence = Outcome(99) // no outcome is reported
 	for _, how := range []Outcome{silence, OK, Failed, Full, ConnectFailed, Moot, Reset, TimedOut} {
-		s := plain()
+		s := testSettings()
 		s.DrawnAtNode = true
 		plan := s.Plans[2]
-		b := newBench(t, s, 20)
-		b.wait(10 * sec) // the slice is full, as the limit's own store is
-		ask := func(i int, u float64) Arrival { return b.ask(0, 2, units(u), cell(i), attached(1), key(0)) }
+		b := newFixture(t, s, 20)
+		b.advance(10 * sec) // the share is full, as the limit's own bucket is
+		ask := func(i int, u float64) Arrival { return b.arrival(0, 2, units(u), cell(i), attached(1), key(0)) }
 		late := ask(0, 6)
 		late.DropDead += 10 * sec
 		out := b.step(late)
 		r, attempts := b.h.requests[late.Request], 0
-		for range 150 { // for 3 s its attempts end so, and nothing else is asked
+		for range 150 { // for 3 s its attempts end so, and no other request arrives
 			if len(sends(out)) > 0 {
 				attempts++
 				if out = nil; how != silence {
-					out = b.step(end(late.Request, attempts-1, 1, how))
+					out = b.step(attemptEnded(late.Request, attempts-1, 1, how))
 					continue
 				}
 			}
 			out = append(out, b.after(20*ms, TimerFired{b.h.token})...)
 		}
-		store, seen := plan.LimitBurst, how == OK || how == Failed || how == Full // by its node, a while ago
+		store, seen := plan.LimitBurst, how == OK || how == Failed || how == Full // its node saw it a while ago
 		if attempts == 0 {
 			t.Fatal("not sent")
 		}
 		for i := 1; i < 20; i++ {
 			for _, id := range sends(b.step(ask(i, 4))) { // these reach their nodes at once
 				store -= 4
-				b.step(end(id, 0, NodeID(i+1), OK))
+				b.step(attemptEnded(id, 0, NodeID(i+1), OK))
 			}
 		}
 		if store > 6 {
 			t.Fatalf("outcome %d: %v units were left", how, store)
 		}
-		// Where no node has surely seen it, one does so now: the last attempt, if it was only reset on its way, or one more.
+		// If no node has certainly seen it, one does so now: through the last attempt, if that was only reset on its
+		// way, or through one more.
 		if !seen {
 			store -= 6
 		}
@@ -604,56 +605,57 @@
 				b.after(20*ms, TimerFired{b.h.token})
 				continue
 			}
-			b.step(end(late.Request, len(r.attempts)-1, 1, OK))
+			b.step(attemptEnded(late.Request, len(r.attempts)-1, 1, OK))
 		}
 		if r.pending {
 			t.Errorf("outcome %d: it is pending at the end", how)
 		}
 	}
-	// Over without having reached a node, it leaves the slice as if it had never been; where one may have seen it, not.
+	// Finished without having reached a node, it returns its units to the share; if a node may have seen it, it does not.
 	for how, drawn := range map[Outcome]float64{Moot: 0, Reset: 6} {
-		s := plain()
+		s := testSettings()
 		s.DrawnAtNode = true
-		b := newBench(t, s, 1)
-		b.wait(10 * sec)
-		a := b.ask(0, 2, units(6), attached(1))
+		b := newFixture(t, s, 1)
+		b.advance(10 * sec)
+		a := b.arrival(0, 2, units(6), attached(1))
 		b.step(a)
-		b.step(ClientGone{a.Request}, end(a.Request, 0, 1, how))
+		b.step(ClientGone{a.Request}, attemptEnded(a.Request, 0, 1, how))
 		if v := b.h.volumes[a.Volume]; v.pending != 0 || b.h.availableTokens(v) != v.maxTokens()-drawn {
 			t.Errorf("outcome %d: %v pending, %v in the slice", how, v.pending, b.h.availableTokens(v))
 		}
 	}
 }
 
+// TestLimited: Limited reports true only while the share cannot hold the units, and only if there is a limit.
 func TestLimited(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	b.step(b.ask(0, 2, units(6)), b.ask(0, 0))
+	b := newFixture(t, testSettings(), 1)
+	b.step(b.arrival(0, 2, units(6)), b.arrival(0, 0))
 	if b.h.Limited(9, 1) || b.h.Limited(0, 1000) || !b.h.Limited(2, 20) {
 		t.Error("limited without a limit, or not where the slice is spent")
 	}
-	b.wait(3 * sec)
+	b.advance(3 * sec)
 	if b.h.Limited(2, 6) || !b.h.Limited(2, 60) {
 		t.Error("limited though the slice holds it, or not where it never can")
 	}
 }
 
 func TestLimitTooLargeIsAnswered(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	a := b.ask(0, 2, attached(2), units(60))
+	b := newFixture(t, testSettings(), 1)
+	a := b.arrival(0, 2, attached(2), units(60))
 	if got := b.step(a); !has(got, Deny{Request: a.Request}) {
 		t.Errorf("%v, want a refusal in the same step", got)
 	}
 }
 
 func coldSettings() Settings {
-	s := plain()
+	s := testSettings()
 	s.Rules.ColdFrom, s.Rules.ColdTime, s.Rules.ColdUnits = 0.2, 10*sec, 6
 	s.Rules.OverloadTime, s.Rules.TipMultiple = sec, 3
 	return s
 }
 
 func TestColdNode(t *testing.T) {
-	restart := func(b *bench, at Micros) NodeList {
+	restart := func(b *fixture, at Micros) NodeList {
 		return NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Ready, Started: at}}}
 	}
 	t.Run("part, growth and warm", func(t *testing.T) {
@@ -664,75 +666,75 @@
 		}{
 			{0, 0, 3, 1}, {0, 0, 4, 0}, {3 * sec, 0, 5, 1}, {3 * sec, 0, 6, 0}, {10 * sec, 0, 60, 1},
 		} {
-			b := newBench(t, coldSettings(), 1)
-			b.wait(sec) // what was sent before this process is out of the window
+			b := newFixture(t, coldSettings(), 1)
+			b.advance(sec) // sends before this process are outside the window
 			b.step(restart(b, b.now-c.age))
-			if got := len(sends(b.step(b.ask(0, 0, units(c.units))))); got != c.want {
+			if got := len(sends(b.step(b.arrival(0, 0, units(c.units))))); got != c.want {
 				t.Errorf("age %d, %v units: %d sends, want %d", c.age, c.units, got, c.want)
 			}
 		}
 	})
 	t.Run("sends before the news count", func(t *testing.T) {
-		b := newBench(t, coldSettings(), 1)
-		b.step(b.ask(0, 0, units(3)))
-		if got := sends(b.after(100*ms, restart(b, b.now), b.ask(0, 0))); len(got) != 0 {
+		b := newFixture(t, coldSettings(), 1)
+		b.step(b.arrival(0, 0, units(3)))
+		if got := sends(b.after(100*ms, restart(b, b.now), b.arrival(0, 0))); len(got) != 0 {
 			t.Errorf("sent %v on top of the part already used", got)
 		}
-		b.step(end(1, 0, 1, Cancelled))
-		if got := sends(b.after(sec, b.ask(0, 0))); len(got) != 1 {
+		b.step(attemptEnded(1, 0, 1, Cancelled))
+		if got := sends(b.after(sec, b.arrival(0, 0))); len(got) != 1 {
 			t.Errorf("sent %v after the window, want one", got)
 		}
 	})
 	t.Run("what it serves may grow", func(t *testing.T) {
-		b := newBench(t, coldSettings(), 1)
-		b.step(restart(b, b.now), b.ask(0, 0, units(3)))
-		b.after(50*ms, end(1, 0, 1, OK))
-		if got := sends(b.after(50*ms, b.ask(0, 0, units(2)))); len(got) != 0 {
+		b := newFixture(t, coldSettings(), 1)
+		b.step(restart(b, b.now), b.arrival(0, 0, units(3)))
+		b.after(50*ms, attemptEnded(1, 0, 1, OK))
+		if got := sends(b.after(50*ms, b.arrival(0, 0, units(2)))); len(got) != 0 {
 			t.Errorf("sent %v: 5 units are over 1.5 times the 3 served", got)
 		}
-		if got := sends(b.after(0, b.ask(0, 0, units(1)))); len(got) != 1 {
+		if got := sends(b.after(0, b.arrival(0, 0, units(1)))); len(got) != 1 {
 			t.Errorf("sent %v: 4 units are under 1.5 times the 3 served", got)
 		}
 	})
 	t.Run("by count, what it serves may go on, not grow", func(t *testing.T) {
 		set := coldSettings()
 		set.Rules.TipMultiple, set.ColdByCount = 4, true
-		b := newBench(t, set, 1)
-		b.step(b.ask(0, 0, units(6)))
-		b.after(100*ms, end(1, 0, 1, OK), restart(b, b.now)) // a part of 3 units
-		if got := sends(b.after(200*ms, b.ask(0, 0, units(1)))); len(got) != 0 {
+		b := newFixture(t, set, 1)
+		b.step(b.arrival(0, 0, units(6)))
+		b.after(100*ms, attemptEnded(1, 0, 1, OK), restart(b, b.now)) // a share of 3 units
+		if got := sends(b.after(200*ms, b.arrival(0, 0, units(1)))); len(got) != 0 {
 			t.Errorf("sent %v: 7 units in a window in which 6 were served", got)
 		}
 		b.step(ClientGone{2})
 		b.after(750 * ms)
-		if got := sends(b.step(b.ask(0, 0, units(3)), b.ask(0, 0, units(3)), b.ask(0, 0, units(1)))); len(got) != 2 {
+		if got := sends(b.step(b.arrival(0, 0, units(3)), b.arrival(0, 0, units(3)), b.arrival(0, 0, units(1)))); len(got) != 2 {
 			t.Errorf("sent %v: 6 units go in a window in which 6 were served, and no more", got)
 		}
 	})
 }
 
-// TestNodeBackFromTheDead: a node that took no connection twice in a row and answers again counts as cold
-// before the list tells of its restart; a single failed connection does not.
+// TestNodeBackFromTheDead: a node that accepted no connection twice in a row and then answers counts as cold before
+// the list reports its restart; after a single failed connection it does not.
 func TestNodeBackFromTheDead(t *testing.T) {
 	for _, c := range []struct{ fails, want int }{{1, 1}, {2, 0}} {
-		b := newBench(t, coldSettings(), 1)
-		b.step(b.ask(0, 0))
+		b := newFixture(t, coldSettings(), 1)
+		b.step(b.arrival(0, 0))
 		for i := range c.fails {
-			b.after(ms, end(1, i, 1, ConnectFailed))
+			b.after(ms, attemptEnded(1, i, 1, ConnectFailed))
 			if got := sends(b.after(2*ms, TimerFired{})); len(got) != 0 {
 				t.Errorf("tried again at once: %v", got)
 			}
 			b.after(minConnectBackoff<<i, TimerFired{})
 		}
-		b.after(ms, end(1, c.fails, 1, OK))
-		if got := len(sends(b.step(b.ask(0, 0, units(5))))); got != c.want {
+		b.after(ms, attemptEnded(1, c.fails, 1, OK))
+		if got := len(sends(b.step(b.arrival(0, 0, units(5))))); got != c.want {
 			t.Errorf("%d failed connections: %d sends of 5 units, want %d", c.fails, got, c.want)
 		}
 		for id := range b.h.requests {
-			b.step(end(id, len(b.h.requests[id].attempts)-1, 1, Cancelled))
+			b.step(attemptEnded(id, len(b.h.requests[id].attempts)-1, 1, Cancelled))
 		}
 		b.now += presumedStartLifetime
-		if got := len(sends(b.after(0, b.ask(1, 0, units(5))))); got == 0 {
+		if got := len(sends(b.after(0, b.arrival(1, 0, units(5))))); got == 0 {
 			t.Errorf("%d failed connections: still held after the doubt", c.fails)
 		}
 	}
@@ -744,12 +746,12 @@
 		{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Gone}}},
 		{Kind: ListFull},
 	} {
-		b := newBench(t, plain(), 1)
-		if got := b.step(list, b.ask(0, 0)); !has(got, Deny{Request: 1}) || len(sends(got)) != 0 {
+		b := newFixture(t, testSettings(), 1)
+		if got := b.step(list, b.arrival(0, 0)); !has(got, Deny{Request: 1}) || len(sends(got)) != 0 {
 			t.Errorf("%v: %v, want a refusal at once and no send", list, got)
 		}
 		again := NodeList{Kind: ListDelta, Nodes: []Node{{ID: 7, Cell: 0, State: Ready}}}
-		if got := b.after(100*ms, again, b.ask(0, 0)); !has(got, Send{Request: 2, Node: 7}) {
+		if got := b.after(100*ms, again, b.arrival(0, 0)); !has(got, Send{Request: 2, Node: 7}) {
 			t.Errorf("%v: %v, want a send to the replacement", list, got)
 		}
 	}
@@ -768,10 +770,10 @@
 		{"fragile turned away", 3, Full, nil},
 		{"dedup after an error", 2, Failed, nil},
 	} {
-		b := newBench(t, plain(), 2)
-		b.step(b.ask(c.class, 0, cell(-1)))
+		b := newFixture(t, testSettings(), 2)
+		b.step(b.arrival(c.class, 0, cell(-1)))
 		n, sent := b.h.requests[1].attempts[0].node, b.now
-		got := b.after(10*ms, end(1, 0, n.ID, c.how))
+		got := b.after(10*ms, attemptEnded(1, 0, n.ID, c.how))
 		if c.want != nil {
 			if !has(got, c.want) {
 				t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -788,11 +790,11 @@
 	}
 }
 
-// Told that the host ends, it answers all that it holds by then, and what comes later by what its caller says.
+// TestEndingBoundsWhatIsHeld: once the shutdown is announced, every held request has its answer by its time.
 func TestEndingBoundsWhatIsHeld(t *testing.T) {
-	b := newBench(t, four(), 1)
-	b.fill()
-	held := b.ask(0, 0)
+	b := newFixture(t, fourHostSettings(), 1)
+	b.fillWindow()
+	held := b.arrival(0, 0)
 	b.step(held)
 	by := b.now + 100*ms
 	if by >= held.DropDead {
@@ -812,25 +814,25 @@
 }
 
 func TestDedupWindowEndsInSurrender(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	b.step(b.ask(2, 0))
-	b.after(990*ms, end(1, 0, 1, Failed))
+	b := newFixture(t, testSettings(), 1)
+	b.step(b.arrival(2, 0))
+	b.after(990*ms, attemptEnded(1, 0, 1, Failed))
 	if got := b.after(20*ms, TimerFired{}); b.h.requests[1] != nil || len(sends(got)) != 0 {
 		t.Errorf("%v after the window: still held or sent", got)
 	}
 }
 
 func TestAnswersInTime(t *testing.T) {
-	b := newBench(t, four(), 1)
-	b.fill()
-	held, out := b.ask(0, 0), RequestID(1)
+	b := newFixture(t, fourHostSettings(), 1)
+	b.fillWindow()
+	held, out := b.arrival(0, 0), RequestID(1)
 	b.step(held)
 	b.now = held.DropDead - 10*ms
 	if got := b.step(TimerFired{}); !has(got, Deny{Request: held.Request}) {
 		t.Errorf("%v, want a refusal before dropDead", got)
 	}
 	b.now = held.DropDead
-	if got := b.step(end(out, 0, 1, TimedOut)); !has(got, Deny{Request: out}) {
+	if got := b.step(attemptEnded(out, 0, 1, TimedOut)); !has(got, Deny{Request: out}) {
 		t.Errorf("%v, want an answer to the time-out at the deadline", got)
 	}
 	if n := len(b.h.sortedNodes[0].inFlight); n != 1 {
@@ -846,19 +848,19 @@
 }
 
 func TestOrderByKey(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Rules.OrderPause = 100 * ms
-	b := newBench(t, s, 3)
-	b.step(b.ask(2, 0, key(5)), b.ask(2, 0, key(5), cell(1)), b.ask(2, 0, key(6), cell(2)))
+	b := newFixture(t, s, 3)
+	b.step(b.arrival(2, 0, key(5)), b.arrival(2, 0, key(5), cell(1)), b.arrival(2, 0, key(6), cell(2)))
 	if b.h.requests[2].inFlight != 0 || b.h.requests[3].inFlight != 1 {
 		t.Error("want the second of key 5 held and key 6 sent")
 	}
-	if got := sends(b.after(10*ms, end(1, 0, 1, OK))); !reflect.DeepEqual(got, []RequestID{2}) {
+	if got := sends(b.after(10*ms, attemptEnded(1, 0, 1, OK))); !reflect.DeepEqual(got, []RequestID{2}) {
 		t.Errorf("sent %v, want 2 in its turn", got)
 	}
-	four := b.ask(2, 0, key(5))
+	four := b.arrival(2, 0, key(5))
 	b.step(four)
-	b.after(2*sec, end(2, 0, 2, TimedOut))
+	b.after(2*sec, attemptEnded(2, 0, 2, TimedOut))
 	if got := sends(b.after(90*ms, TimerFired{})); len(got) != 0 {
 		t.Errorf("sent %v within the pause", got)
 	}
@@ -869,53 +871,53 @@
 }
 
 func TestBudget(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Rules.BudgetWindow, s.Rules.BudgetFree, s.Rules.BudgetPerTake = sec, 1, 0
-	b := newBench(t, s, 1)
-	b.step(b.ask(0, 0), b.ask(0, 0))
-	b.after(ms, end(1, 0, 1, Failed), end(2, 0, 1, Failed))
+	b := newFixture(t, s, 1)
+	b.step(b.arrival(0, 0), b.arrival(0, 0))
+	b.after(ms, attemptEnded(1, 0, 1, Failed), attemptEnded(2, 0, 1, Failed))
 	if got := sends(b.after(100*ms, TimerFired{})); len(got) != 1 {
 		t.Errorf("%d further attempts, want the one that is free", len(got))
 	}
-	b.step(end(1, 1, 1, OK))
+	b.step(attemptEnded(1, 1, 1, OK))
 	b.h.sortedNodes[0].lastActive = 0
 	if got := sends(b.after(1100*ms, TimerFired{})); len(got) != 1 {
 		t.Errorf("%d further attempts in the next window, want 1", len(got))
 	}
 }
 
-// A request that was tried at another cell before goes on: its send here is a further attempt, it draws on no limit a
-// second time, and the attempts there count.
+// TestTriedElsewhere: a request that was tried at another cell before continues here: its send is a retry, it does not
+// draw on the limit again, and the earlier attempts count.
 func TestTriedElsewhere(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Rules.BudgetWindow, s.Rules.BudgetFree, s.Rules.BudgetPerTake, s.MaxAttempts = sec, 1, 0, 3
-	b := newBench(t, s, 1)
+	b := newFixture(t, s, 1)
 	tried := func(n int) func(*Arrival) { return func(a *Arrival) { a.Tried = n } }
-	got := b.step(b.ask(0, 2, tried(2)))
+	got := b.step(b.arrival(0, 2, tried(2)))
 	if len(sends(got)) != 1 || b.h.volumes[2].tokens > 0 {
 		t.Fatalf("sent %v, the limit's store holds %v", sends(got), b.h.volumes[2].tokens)
 	}
-	if got := b.after(ms, end(1, 0, 1, Failed)); !has(got, Deny{Request: 1}) {
+	if got := b.after(ms, attemptEnded(1, 0, 1, Failed)); !has(got, Deny{Request: 1}) {
 		t.Errorf("%v after the third attempt, want it given up", got)
 	}
-	if got := sends(b.step(b.ask(0, 0, tried(1)))); len(got) != 0 {
+	if got := sends(b.step(b.arrival(0, 0, tried(1)))); len(got) != 0 {
 		t.Error("sent past the budget of further attempts")
 	}
-	if got := sends(b.step(b.ask(0, 0))); len(got) != 1 {
+	if got := sends(b.step(b.arrival(0, 0))); len(got) != 1 {
 		t.Error("a first attempt was held back by the budget")
 	}
 }
 
-// A request whose caller has another place is given up where it is when one attempt fails or its aim is out of reach;
-// and a cell is down while its node's rest after a failed connection lasts.
+// TestOnceAndDown: a request whose caller has an alternative is refused when one attempt fails or its aim cannot be
+// met; and a cell is down during the backoff of its node after a failed connection.
 func TestOnceAndDown(t *testing.T) {
-	b := newBench(t, plain(), 2)
+	b := newFixture(t, testSettings(), 2)
 	once := func(a *Arrival) { a.Once = true }
-	b.step(b.ask(0, 0, once))
+	b.step(b.arrival(0, 0, once))
 	if b.h.Down(0) || !b.h.Down(7) {
 		t.Error("down before anything failed, or a cell that nobody holds is not")
 	}
-	if got := b.after(ms, end(1, 0, 1, ConnectFailed)); !has(got, Deny{Request: 1}) {
+	if got := b.after(ms, attemptEnded(1, 0, 1, ConnectFailed)); !has(got, Deny{Request: 1}) {
 		t.Errorf("%v after its one attempt", got)
 	}
 	if !b.h.Down(0) || b.h.Down(1) {
@@ -926,34 +928,34 @@
 		t.Error("down after the pause, when one request is to try it")
 	}
 	b.h.recordWait(b.h.sortedNodes[1], 600*1e3)
-	if got := b.step(b.ask(0, 0, cell(1), once), b.ask(0, 0, cell(1))); !has(got, Deny{Request: 2}) || has(got, Deny{Request: 3}) {
+	if got := b.step(b.arrival(0, 0, cell(1), once), b.arrival(0, 0, cell(1))); !has(got, Deny{Request: 2}) || has(got, Deny{Request: 3}) {
 		t.Errorf("%v where the aim is out of reach, want the one that may go elsewhere given up", got)
 	}
 }
 
-// A new object that is to stay in its host's zone goes to no other, however free that is.
+// TestNewObjectAtHome: a new object that must stay in its host's zone goes to no other zone, however idle that is.
 func TestNewObjectAtHome(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Zone = 1
-	b := newBench(t, s, 3)
+	b := newFixture(t, s, 3)
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 3, Cell: 2, Zone: 1, State: Ready}}})
 	home := func(a *Arrival) { a.Home = true }
 	for i := range 6 {
-		for _, a := range b.step(b.ask(0, 0, cell(-1), home)) {
+		for _, a := range b.step(b.arrival(0, 0, cell(-1), home)) {
 			if s, ok := a.(Send); ok && s.Node != 3 {
 				t.Errorf("request %d went to node %d", i, s.Node)
 			}
 		}
 	}
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 3, Cell: 2, Zone: 1, State: Gone}}})
-	if got := b.step(b.ask(0, 0, cell(-1), home)); !has(got, Deny{Request: 7}) {
+	if got := b.step(b.arrival(0, 0, cell(-1), home)); !has(got, Deny{Request: 7}) {
 		t.Errorf("%v with no node at home, want it refused", got)
 	}
 }
 
-// Outlook is never without a node, and grows with what waits, with a rest, with a full window.
+// TestOutlook: the estimate is never for a cell without a node, and grows with the wait and with a full window.
 func TestOutlook(t *testing.T) {
-	b := newBench(t, plain(), 2)
+	b := newFixture(t, testSettings(), 2)
 	if got := b.h.Outlook(7, 1); got != never {
 		t.Errorf("%d for a cell that nobody holds", got)
 	}
@@ -962,7 +964,7 @@
 	if free != 2*ms {
 		t.Errorf("%d at a free node, want the request's own time", free)
 	}
-	b.fill()
+	b.fillWindow()
 	full := b.h.Outlook(0, 2)
 	b.h.recordWait(b.h.sortedNodes[0], 80*1e3)
 	waits := b.h.Outlook(0, 2)
@@ -976,8 +978,8 @@
 }
 
 func TestStreamHasNoDeadline(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	a := b.ask(4, 0)
+	b := newFixture(t, testSettings(), 1)
+	a := b.arrival(4, 0)
 	b.step(a)
 	b.after(ms, StreamStarted{Request: a.Request})
 	b.now = a.DropDead + sec
@@ -991,9 +993,9 @@
 }
 
 func TestSubscribe(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Subscribe, s.Rules.AskWithin = true, 4*sec
-	b := newBench(t, s, 1)
+	b := newFixture(t, s, 1)
 	asked := []Micros{b.now}
 	for b.now < 40*sec {
 		b.now += 10 * ms
@@ -1018,11 +1020,11 @@
 }
 
 func TestIdleVolumesAgeOut(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	b.step(b.ask(0, 0), b.ask(0, 2))
+	b := newFixture(t, testSettings(), 1)
+	b.step(b.arrival(0, 0), b.arrival(0, 2))
 	b.after(200*ms, TimerFired{})
-	b.after(10*ms, end(1, 0, 1, OK), end(2, 0, 1, OK))
-	b.after(maxVolumeIdle+sec, b.ask(0, 1))
+	b.after(10*ms, attemptEnded(1, 0, 1, OK), attemptEnded(2, 0, 1, OK))
+	b.after(maxVolumeIdle+sec, b.arrival(0, 1))
 	if len(b.h.volumes) != 1 || len(b.h.roundRobin) != 1 {
 		t.Errorf("%d volumes kept, want the one in use", len(b.h.volumes))
 	}
@@ -1030,7 +1032,7 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() []Action {
-		s := newScript(t, ruleSettings(), 7)
+		s := newScenario(t, ruleSettings(), 7)
 		var all []Action
 		for range 400 {
 			s.now += 2 * ms
@@ -1057,7 +1059,7 @@
 		"UnitTop":          func(s *Settings) { s.UnitTop = math.NaN() },
 		"UsePeriod":        func(s *Settings) { s.UsePeriod = -1 },
 	} {
-		s := plain()
+		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
@@ -1065,11 +1067,11 @@
 	}
 }
 
-// TestStrangeEvents: what cannot be right is answered or ignored, and never reaches the sums.
+// TestStrangeEvents: invalid events are answered or ignored and never affect the sums.
 func TestStrangeEvents(t *testing.T) {
-	b := newBench(t, plain(), 1)
-	got := b.step(b.ask(99, 0), b.ask(0, 99), b.ask(0, 0, units(math.NaN()), attached(math.NaN())),
-		b.ask(0, 1, units(-5), attached(0)), end(77, 0, 1, OK), end(2, 9, 1, OK), ClientGone{55},
+	b := newFixture(t, testSettings(), 1)
+	got := b.step(b.arrival(99, 0), b.arrival(0, 99), b.arrival(0, 0, units(math.NaN()), attached(math.NaN())),
+		b.arrival(0, 1, units(-5), attached(0)), attemptEnded(77, 0, 1, OK), attemptEnded(2, 9, 1, OK), ClientGone{55},
 		StreamStarted{Request: 44}, ProbeEnded{Node: 9}, TimerFired{1234}, nil)
 	if !has(got, Deny{Request: 1}) {
 		t.Errorf("%v, want a refusal for the unknown class", got)
@@ -1081,12 +1083,12 @@
 	}
 }
 
-// TestStrangeNumbers: attached of no sense, a clock that jumps, a list replaced whole; each request of it is
-// answered or sent, and the sums stay finite.
+// TestStrangeNumbers: with invalid numbers of attached hosts, a clock that jumps, or a list replaced as a whole, each
+// request is answered or sent and the sums stay finite.
 func TestStrangeNumbers(t *testing.T) {
 	for _, n := range []float64{0, 0.3, -2, 1e9, math.NaN(), math.Inf(1)} {
-		b := newBench(t, plain(), 2)
-		a := b.ask(0, 2, attached(n), units(1))
+		b := newFixture(t, testSettings(), 2)
+		a := b.arrival(0, 2, attached(n), units(1))
 		b.step(a)
 		if v := b.h.volumes[2]; v.attached != 2 {
 			t.Errorf("attached %v became %v", n, v.attached)
@@ -1096,26 +1098,26 @@
 			t.Errorf("attached %v: still held an hour later", n)
 		}
 	}
-	b := newBench(t, plain(), 2)
+	b := newFixture(t, testSettings(), 2)
 	whole := NodeList{Kind: ListFull}
 	for i := range 500 {
 		whole.Nodes = append(whole.Nodes, Node{ID: NodeID(1000 + i), Cell: i, State: Ready})
 	}
 	b.step(whole)
-	if got := b.step(b.ask(0, 0, cell(0))); len(sends(got)) != 1 || !has(got, Send{Request: 1, Node: 1000}) {
+	if got := b.step(b.arrival(0, 0, cell(0))); len(sends(got)) != 1 || !has(got, Send{Request: 1, Node: 1000}) {
 		t.Errorf("%v, want a send to the node that took the shard over", got)
 	}
 	b.step(NodeList{Kind: ListFull})
-	if got := sends(b.step(b.ask(0, 0, cell(3)))); len(got) != 0 {
+	if got := sends(b.step(b.arrival(0, 0, cell(3)))); len(got) != 0 {
 		t.Errorf("sent %v to nodes that are gone", got)
 	}
 }
 
-// BenchmarkStep is for comparison by hand: 50 nodes, 400 volumes, thousands of requests that wait.
+// BenchmarkStep measures a Step with 50 nodes, 400 volumes and up to thousands of waiting requests.
 func BenchmarkStep(b *testing.B) {
 	for _, backlog := range []int{500, 4000} {
 		b.Run(strconv.Itoa(backlog), func(b *testing.B) {
-			s := plain()
+			s := testSettings()
 			s.Hosts = 200
 			h, err := New(s, 1)
 			if err != nil {
@@ -1141,26 +1143,26 @@
 	}
 }
 
-// TestJammedNodeDrains: where many hosts share a node that served none of their clients in time, what they
-// try it with adds up to few a second from the first second on, and each tries it again within its rest.
-// Without the rest all of them are back within three seconds, and the node never gets through its queue.
+// TestJammedNodeDrains: if many hosts share a node that served none of their clients in time, their further attempts
+// add up to a few a second from the first second on, and each host tries it again within its backoff. Without the
+// backoff all of them return within three seconds and the node never drains its queue.
 func TestJammedNodeDrains(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Hosts = 400
-	most := int(sec/timeoutBackoff) * 2 // tries a second of all hosts, with room for chance
+	most := int(sec/timeoutBackoff) * 2 // attempts a second of all hosts, with a margin for chance
 	var each [30]int
 	for host := range s.Hosts {
 		s.Number = host
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		b.h.rng = rand.New(rand.NewPCG(uint64(host), 1))
-		b.step(b.ask(0, 3, patience(100*ms)))
-		b.wait(100 * ms)
-		b.step(end(1, 0, 1, TimedOut), ClientGone{1})
+		b.step(b.arrival(0, 3, withPatience(100*ms)))
+		b.advance(100 * ms)
+		b.step(attemptEnded(1, 0, 1, TimedOut), ClientGone{1})
 		for i := range each {
 			var got []RequestID
 			for range 4 {
-				b.step(b.ask(0, 3))
-				got = append(got, sends(b.wait(sec/4))...)
+				b.step(b.arrival(0, 3))
+				got = append(got, sends(b.advance(sec/4))...)
 			}
 			if len(got) > 0 {
 				each[i]++
@@ -1179,58 +1181,58 @@
 	}
 }
 
-// TestNewObjectsSpreadOverFreshNodes: a node that has just come up and was never heard of is no better than
-// one that answers as usual; taken for the fastest it would get the new objects of all hosts at once.
+// TestNewObjectsSpreadOverFreshNodes: a node that has just started and never answered is not preferred to one that
+// answers as usual; assumed to be the fastest, it would get the new objects of all hosts at once.
 func TestNewObjectsSpreadOverFreshNodes(t *testing.T) {
-	b := newBench(t, plain(), 2)
+	b := newFixture(t, testSettings(), 2)
 	b.h.unitTime, b.h.settings.UnitMean = 20*float64(ms), 2
 	b.h.sortedNodes[0].latency = 30 * float64(ms)
-	a := b.ask(0, 4, cell(-1))
+	a := b.arrival(0, 4, cell(-1))
 	if got := b.step(a); !has(got, Send{Request: a.Request, Node: 1}) {
 		t.Errorf("%v, want a send to node 1, which is known to be fast", got)
 	}
 }
 
-// TestGivenUpIsAnsweredAtOnce: a request is held only while a send that earns something is possible; else it
-// has its answer in the Step that finds it, with the time until one may be, where clients are told.
+// TestGivenUpIsAnsweredAtOnce: a request is held only while a send that earns something is possible; otherwise it is
+// refused in the Step that finds this, with the time until a send is possible if clients get advice.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	node := func(b *bench) *node { return b.h.sortedNodes[0] }
+	node := func(b *fixture) *node { return b.h.sortedNodes[0] }
 	for _, c := range []struct {
 		name  string
 		plan  int
 		units float64
-		late  float64 // part of the worth for late answers
-		set   func(*bench)
+		late  float64 // share of the worth for late answers
+		set   func(*fixture)
 		held  bool
-		again Micros // advice where it is refused
+		again Micros // advice if it is refused
 	}{
-		{"a free node", 3, 1, 0.2, func(b *bench) {}, true, 0},
-		{"no node holds the shard", 3, 1, 0.2, func(b *bench) { b.step(NodeList{Kind: ListFull}) }, false, 3 * sec},
-		{"more units than the limit ever holds", 2, 30, 0.2, func(b *bench) {}, false, 3 * sec},
-		{"the limit fills up in time", 2, 10, 0.2, func(b *bench) { b.h.startedAt = b.now }, true, 0},
-		{"the limit fills up too late", 2, 20, 0.2, func(b *bench) { b.h.settings.Plans[2].Limit = 4 }, false, 3 * sec},
-		{"what waits is gone within the aim", 3, 1, 0, func(b *bench) { b.h.recordWait(node(b), 300*1e3) }, true, 0},
-		{"what waits is gone past the aim", 3, 1, 0, func(b *bench) { b.h.recordWait(node(b), 500*1e3) }, false, 500 * ms},
-		{"and late answers earn", 3, 1, 0.2, func(b *bench) { b.h.recordWait(node(b), 500*1e3) }, true, 0},
-		{"what waits outlasts the client", 3, 1, 0.2, func(b *bench) { b.h.recordWait(node(b), 5e6) }, false, 3 * sec},
-		{"the node rests for long", 3, 1, 0.2, func(b *bench) { node(b).backoffUntil = b.now + 5*sec }, false, 3 * sec},
-		{"the node is tried again in time", 3, 1, 0, func(b *bench) { node(b).backoffUntil = b.now + 300*ms }, true, 0},
-		{"its window opens too late", 3, 1, 0, func(b *bench) {
+		{"a free node", 3, 1, 0.2, func(b *fixture) {}, true, 0},
+		{"no node holds the shard", 3, 1, 0.2, func(b *fixture) { b.step(NodeList{Kind: ListFull}) }, false, 3 * sec},
+		{"more units than the limit ever holds", 2, 30, 0.2, func(b *fixture) {}, false, 3 * sec},
+		{"the limit fills up in time", 2, 10, 0.2, func(b *fixture) { b.h.startedAt = b.now }, true, 0},
+		{"the limit fills up too late", 2, 20, 0.2, func(b *fixture) { b.h.settings.Plans[2].Limit = 4 }, false, 3 * sec},
+		{"what waits is gone within the aim", 3, 1, 0, func(b *fixture) { b.h.recordWait(node(b), 300*1e3) }, true, 0},
+		{"what waits is gone past the aim", 3, 1, 0, func(b *fixture) { b.h.recordWait(node(b), 500*1e3) }, false, 500 * ms},
+		{"and late answers earn", 3, 1, 0.2, func(b *fixture) { b.h.recordWait(node(b), 500*1e3) }, true, 0},
+		{"what waits outlasts the client", 3, 1, 0.2, func(b *fixture) { b.h.recordWait(node(b), 5e6) }, false, 3 * sec},
+		{"the node rests for long", 3, 1, 0.2, func(b *fixture) { node(b).backoffUntil = b.now + 5*sec }, false, 3 * sec},
+		{"the node is tried again in time", 3, 1, 0, func(b *fixture) { node(b).backoffUntil = b.now + 300*ms }, true, 0},
+		{"its window opens too late", 3, 1, 0, func(b *fixture) {
 			node(b).window, node(b).sentAt, node(b).lastActive = [2]float64{0.08, 0.08}, b.now, b.now
 		}, false, sec},
-		{"its window may open with an answer", 3, 1, 0, func(b *bench) { b.fill() }, true, 0},
-		{"its turn at a cold node is far", 3, 1, 0.2, func(b *bench) { b.cold(b.now, 99) }, false, 3 * sec},
-		{"its turn at a cold node is near", 3, 1, 0, func(b *bench) { b.cold(b.now, 1) }, true, 0},
+		{"its window may open with an answer", 3, 1, 0, func(b *fixture) { b.fillWindow() }, true, 0},
+		{"its turn at a cold node is far", 3, 1, 0.2, func(b *fixture) { b.startColdNode(b.now, 99) }, false, 3 * sec},
+		{"its turn at a cold node is near", 3, 1, 0, func(b *fixture) { b.startColdNode(b.now, 1) }, true, 0},
 	} {
 		for _, told := range []bool{false, true} {
-			s := plain()
+			s := testSettings()
 			s.CoolDowns, s.MaxCoolDown = told, 3*sec
 			for i := range s.Classes {
 				s.Classes[i].LateShare = c.late
 			}
-			b := newBench(t, s, 1)
+			b := newFixture(t, s, 1)
 			c.set(b)
-			a := b.ask(0, c.plan, units(c.units))
+			a := b.arrival(0, c.plan, units(c.units))
 			got := b.step(a)
 			deny := Deny{Request: a.Request}
 			if told {
@@ -1246,8 +1248,9 @@
 	}
 }
 
-// cold lets node 1 start at a time, with this host's turn there so many slots of 300 ms away.
-func (b *bench) cold(at Micros, slots int) {
+// startColdNode lets node 1 start at the given time, with this host's slot there the given number of slots of 300 ms
+// away.
+func (b *fixture) startColdNode(at Micros, slots int) {
 	r := &b.h.settings.Rules
 	r.ColdFrom, r.ColdTime, r.ColdUnits, r.OverloadTime, r.TipMultiple = 0.2, 20*sec, 4, 200*ms, 3
 	b.h.settings.Hosts, b.h.settings.UnitMean, b.h.startedAt = 100, 2, 0
@@ -1261,13 +1264,13 @@
 	b.t.Fatalf("no host has its turn in %d slots", slots)
 }
 
-// TestLastAttemptIsAnsweredAtOnce: where no attempt or repeat is left the answer goes out with the outcome.
+// TestLastAttemptIsAnsweredAtOnce: if no attempt is left, the answer is given in the Step of the outcome.
 func TestLastAttemptIsAnsweredAtOnce(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxAttempts, s.CoolDowns, s.MaxCoolDown = 1, true, 100*ms
-	b := newBench(t, s, 1)
-	b.step(b.ask(0, 3))
-	got := b.after(10*ms, end(1, 0, 1, Failed))
+	b := newFixture(t, s, 1)
+	b.step(b.arrival(0, 3))
+	got := b.after(10*ms, attemptEnded(1, 0, 1, Failed))
 	if len(got) == 0 {
 		t.Fatal("no answer in the step of the last outcome")
 	}
@@ -1276,15 +1279,15 @@
 	}
 }
 
-// TestHeldIsAnsweredWhenItsChanceIsGone: what was held with a chance is answered in the Step in which the
-// chance goes: the node drains, or its aim passes where late answers earn nothing.
+// TestHeldIsAnsweredWhenItsChanceIsGone: a held request is answered in the Step in which it can no longer earn
+// anything: the node drains, or the aim passes and late answers earn nothing.
 func TestHeldIsAnsweredWhenItsChanceIsGone(t *testing.T) {
 	for _, gone := range []bool{true, false} {
-		s := plain()
+		s := testSettings()
 		s.Classes[0].LateShare = 0
-		b := newBench(t, s, 1)
-		b.fill()
-		a := b.ask(0, 3)
+		b := newFixture(t, s, 1)
+		b.fillWindow()
+		a := b.arrival(0, 3)
 		if got := b.step(a); has(got, Deny{Request: a.Request}) {
 			t.Fatal("refused though an answer may make room")
 		}
@@ -1292,7 +1295,7 @@
 		if gone {
 			got = b.after(10*ms, NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Draining}}})
 		} else {
-			got = append(b.wait(390*ms), b.after(20*ms, TimerFired{})...)
+			got = append(b.advance(390*ms), b.after(20*ms, TimerFired{})...)
 		}
 		if !has(got, Deny{Request: a.Request}) {
 			t.Errorf("node gone %v: %v, want a refusal", gone, got)
@@ -1300,21 +1303,21 @@
 	}
 }
 
-// TestRepeatKeepsTheAim: what looks like the request that was just refused is its client's repeat and has
-// the aim of the first; another key, another size or no key at all is new.
+// TestRepeatKeepsTheAim: a request with the signature of one just refused is its client's repeat and keeps the first
+// one's aim; with another key, another size or no key it is new.
 func TestRepeatKeepsTheAim(t *testing.T) {
 	for _, c := range []struct {
 		key    uint64
 		units  float64
 		repeat bool
 	}{{7, 1, true}, {8, 1, false}, {7, 2, false}, {0, 1, false}} {
-		b := newBench(t, plain(), 1)
-		b.step(b.ask(0, 3, cell(5), key(c.key*7/max(c.key, 1)))) // no node holds it: refused
+		b := newFixture(t, testSettings(), 1)
+		b.step(b.arrival(0, 3, cell(5), key(c.key*7/max(c.key, 1)))) // no node holds it: refused
 		first := b.now
 		b.now += 200 * ms
-		a := b.ask(0, 3, key(c.key), units(c.units))
+		a := b.arrival(0, 3, key(c.key), units(c.units))
 		a.Cell = 5
-		b.fill()
+		b.fillWindow()
 		b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, Cell: 5, State: Ready}}}, a)
 		r := b.h.requests[a.Request]
 		if r == nil || (r.aimAt == first+400*ms) != c.repeat {
@@ -1323,119 +1326,119 @@
 	}
 }
 
-// TestSecondPassStopsInARush: in a rush that fills all nodes what the others lately waited holds the second
-// pass back at nodes this host has not heard of, before their own windows have learned; the first goes on.
+// TestSecondPassStopsInARush: in a burst that fills all nodes, the recent waits at other nodes stop the second pass at
+// nodes without recent answers, before their own windows shrink; the first pass continues.
 func TestSecondPassStopsInARush(t *testing.T) {
 	for _, c := range []struct{ hosts, plan, want int }{
-		{100, 0, 1}, {100, 3, 0}, {2, 3, 1}, // with a reservation, without; few hosts see enough themselves
+		{100, 0, 1}, {100, 3, 0}, {2, 3, 1}, // with a reservation; without; few hosts get enough answers of their own
 	} {
-		s, plan, want := plain(), c.plan, c.want
+		s, plan, want := testSettings(), c.plan, c.want
 		s.Hosts = c.hosts
-		b := newBench(t, s, 2)
-		b.step(b.ask(0, plan)) // what has no reservation spends its first balance for good
-		b.after(20*ms, end(1, 0, 1, OK))
-		b.wait(2 * sec)
+		b := newFixture(t, s, 2)
+		b.step(b.arrival(0, plan)) // without a reservation the first balance is not earned again
+		b.after(20*ms, attemptEnded(1, 0, 1, OK))
+		b.advance(2 * sec)
 		b.h.unitTime = 10 * float64(ms)
-		b.h.meanWait, b.h.meanWaitAt = 150e3, b.now // over a fifth of 400 ms, and in time for the aim
-		if got := sends(b.step(b.ask(0, plan))); len(got) != want {
+		b.h.meanWait, b.h.meanWaitAt = 150e3, b.now // over a fifth of 400 ms, but the aim can be met
+		if got := sends(b.step(b.arrival(0, plan))); len(got) != want {
 			t.Errorf("plan %d, %d hosts: %d sends, want %d", plan, c.hosts, len(got), want)
 		}
-		b.wait(100 * ms)
+		b.advance(100 * ms)
 		if len(b.h.sortedNodes[0].inFlight) == 0 {
 			t.Errorf("plan %d: still held when the wait has drained", plan)
 		}
 	}
 }
 
-// TestOnePastTheWindow: where all that is out at a node waits for long, one request goes past its window after
-// a pause that grows with the hosts; its answer tells a lost answer from a node that hangs.
+// TestOnePastTheWindow: if all attempts at a node are overdue, one request may exceed its window after a delay that
+// grows with the number of hosts; its answer distinguishes a lost answer from a node that hangs.
 func TestOnePastTheWindow(t *testing.T) {
 	for _, c := range []struct{ hosts, want int }{{2, 1}, {30, 0}} {
-		s := plain()
+		s := testSettings()
 		s.Hosts = c.hosts
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		n := b.h.sortedNodes[0]
-		b.step(b.ask(0, 3))
+		b.step(b.arrival(0, 3))
 		n.inFlight[0].waitDoublings, n.window = 1, [2]float64{1, 1}
-		b.wait(500 * ms) // the pause is 400 ms for two hosts, 4 s for thirty
-		if got := sends(b.step(b.ask(0, 3))); len(got) != c.want {
+		b.advance(500 * ms) // the pause is 400 ms for two hosts, 4 s for thirty
+		if got := sends(b.step(b.arrival(0, 3))); len(got) != c.want {
 			t.Errorf("%d hosts: %d sends past the window, want %d", c.hosts, len(got), c.want)
 		}
 	}
 }
 
-// TestOnePastALostAnswer: the wait of an answer that does not come makes every later request late, so none would leave
-// before it has timed out; one goes past it and its quick answer opens the node again. Found on a day on which answers
-// vanish: 8% of all requests were refused while their nodes had nothing to do.
+// TestOnePastALostAnswer: the assumed wait of a lost answer makes every later request late, so none would be sent
+// before the attempt has timed out. One is sent despite it, and its quick answer makes the node usable again. Without
+// it, 8% of all requests were refused while their nodes were idle when answers got lost.
 func TestOnePastALostAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		out  bool // the lost attempt is still out, or has timed out
+		out  bool // the lost attempt is still in flight, or has timed out
 	}{{"still out", true}, {"timed out", false}} {
-		s := plain()
+		s := testSettings()
 		s.Hosts, s.Classes[0].Aim, s.Classes[0].LateShare = 4, 100*ms, 0
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		b.h.unitTime = 10 * float64(ms)
-		lost := b.ask(0, 3)
+		lost := b.arrival(0, 3)
 		b.step(lost)
-		b.wait(700 * ms)
+		b.advance(700 * ms)
 		if !c.out {
-			b.step(end(lost.Request, 0, 1, TimedOut), ClientGone{lost.Request})
+			b.step(attemptEnded(lost.Request, 0, 1, TimedOut), ClientGone{lost.Request})
 		}
 		if wait := b.h.expectedWait(b.h.sortedNodes[0]); wait < 300e3 {
 			t.Fatalf("%s: a wait of %v", c.name, wait)
 		}
 		b.h.sortedNodes[0].backoffUntil = 0
-		b.wait(140 * ms)
-		a, next := b.ask(0, 3), b.ask(0, 3)
+		b.advance(140 * ms)
+		a, next := b.arrival(0, 3), b.arrival(0, 3)
 		if got := sends(b.step(a, next)); len(got) != 1 || got[0] != a.Request {
 			t.Errorf("%s: sent %v, want one past it", c.name, got)
 		}
-		if got := sends(b.after(15*ms, end(a.Request, 0, 1, OK))); len(got) != 1 || got[0] != next.Request {
+		if got := sends(b.after(15*ms, attemptEnded(a.Request, 0, 1, OK))); len(got) != 1 || got[0] != next.Request {
 			t.Errorf("%s: after a quick answer %v were sent", c.name, got)
 		}
 	}
 }
 
-// TestPassedIsSentAgain: where answers have vanished before, one that a quick answer passes is lost, however little it
-// has waited; where they have not, it is only heavy.
+// TestPassedIsSentAgain: if answers got lost before, an attempt overtaken by a quick answer counts as lost, however
+// little it has waited; otherwise it is merely expensive.
 func TestPassedIsSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		vanish float64
 		again  bool
 	}{{0, false}, {0.2, true}} {
-		s := plain()
+		s := testSettings()
 		s.SecondCopies, s.MaxAttempts = true, 4
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		b.h.unitTime, b.h.lossShare = 10*float64(ms), c.vanish
-		lost, quick := b.ask(0, 3), b.ask(0, 3)
+		lost, quick := b.arrival(0, 3), b.arrival(0, 3)
 		b.step(lost)
-		b.wait(290 * ms) // past half of its aim
+		b.advance(290 * ms) // more than half of its aim
 		n := b.h.sortedNodes[0]
 		n.window, n.wait = [2]float64{2, 2}, 0
 		b.step(quick)
-		got := sends(b.after(20*ms, end(quick.Request, 0, 1, OK)))
-		got = append(got, sends(b.wait(40*ms))...)
+		got := sends(b.after(20*ms, attemptEnded(quick.Request, 0, 1, OK)))
+		got = append(got, sends(b.advance(40*ms))...)
 		if (len(got) == 1 && got[0] == lost.Request) != c.again {
 			t.Errorf("vanish %v: sent %v again, want %v", c.vanish, got, c.again)
 		}
 	}
 }
 
-// TestRoom: clients that have no connection left cannot ask at all, so held requests give way before that: those past
-// their aim first, then the last of the queue that is longest for its reservation; what is out never.
+// TestRoom: clients without a free connection cannot send at all, so held requests are shed before that: those past
+// their aim first, then the latest of the queue that is longest relative to its reservation; requests in flight never.
 func TestRoom(t *testing.T) {
 	const room = 18
-	full := func(room int) (*bench, map[RequestID]int) {
-		s := four()
+	full := func(room int) (*fixture, map[RequestID]int) {
+		s := fourHostSettings()
 		s.CoolDowns, s.MaxCoolDown = true, 10*sec
-		b := newBench(t, s, 1)
+		b := newFixture(t, s, 1)
 		b.step(RoomChanged{Room: room})
 		b.h.unitTime = 10 * float64(ms)
-		b.fill() // two are out
+		b.fillWindow() // two are in flight
 		plans := map[RequestID]int{}
 		for i := range 13 {
-			a := b.ask(0, []int{0, 1}[i/8])
+			a := b.arrival(0, []int{0, 1}[i/8])
 			plans[a.Request] = a.Plan
 			if got := sends(b.step(a)); len(got) > 0 {
 				t.Fatal("the window is not full")
@@ -1453,10 +1456,10 @@
 		}
 		return ids
 	}
-	b, plans := full(room)       // 15 are owed an answer, 18 may be
-	b.h.enqueue(b.h.requests[1]) // to be sent again while its first attempt is out
+	b, plans := full(room)       // 15 are unanswered, 18 may be
+	b.h.enqueue(b.h.requests[1]) // to be sent again while its first attempt is in flight
 	for range 30 {
-		a := b.ask(0, 1)
+		a := b.arrival(0, 1)
 		plans[a.Request] = 1
 		got := denied(b.step(a))
 		if b.h.unanswered > room || b.h.unanswered < room && len(got) > 0 {
@@ -1484,18 +1487,18 @@
 	}
 
 	b, _ = full(room)
-	old := b.ask(0, 1)
+	old := b.arrival(0, 1)
 	b.step(old)
 	b.h.requests[old.Request].aimAt = b.now
 	for range 3 {
-		b.step(b.ask(0, 0))
+		b.step(b.arrival(0, 0))
 	}
 	if r := b.h.requests[old.Request]; r != nil {
 		t.Error("one past its aim was kept before others")
 	}
 	out := 0
 	for range 40 {
-		b.step(b.ask(0, 0))
+		b.step(b.arrival(0, 0))
 	}
 	for _, r := range b.h.requests {
 		out += r.inFlight
@@ -1511,31 +1514,31 @@
 
 	b, _ = full(0)
 	for range 100 {
-		if got := denied(b.step(b.ask(0, 0))); len(got) > 0 {
+		if got := denied(b.step(b.arrival(0, 0))); len(got) > 0 {
 			t.Fatalf("%v denied where no bound is told", got)
 		}
 	}
 }
 
-// TestHeldPart: where the settings say so, a request that never left is refused in the first part of its time; one that
-// has left goes on waiting.
+// TestHeldPart: if HeldPart is set, a request that was never sent is refused after that part of its time; one that was
+// sent continues to wait.
 func TestHeldPart(t *testing.T) {
 	for _, c := range []struct {
 		part float64
 		left bool
 		from Micros
 	}{{0, false, 3900 * ms}, {0.25, false, 880 * ms}, {0.25, true, 3900 * ms}} {
-		s := plain()
+		s := testSettings()
 		s.HeldPart = c.part
-		b := newBench(t, s, 1)
-		b.fill()
-		a := b.ask(0, 3)
+		b := newFixture(t, s, 1)
+		b.fillWindow()
+		a := b.arrival(0, 3)
 		b.step(a)
 		if c.left {
 			b.h.requests[a.Request].earlierAttempts = 1
 		}
 		for b.now < 15*sec && b.h.requests[a.Request] != nil {
-			b.wait(cycle)
+			b.advance(cycle)
 		}
 		if took := b.now - 10*sec; took < c.from || took > c.from+200*ms {
 			t.Errorf("%+v: answered after %v us", c, took)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,129 +8,129 @@
 	"testing"
 )
 
-// checker holds the seven rules against what one host did. It reads events and actions only and shares
-// no code with the module.
+// checker checks the seven rules against the behavior of one host. It sees only events and actions and shares no code
+// with the module.
 type checker struct {
-	set      Settings
-	began    Micros
-	started  bool
-	reqs     map[RequestID]*seen
-	arrivals []RequestID
-	nodes    map[NodeID]Node
-	stopped  map[NodeID]Micros // told draining or gone at
-	sends    map[NodeID][]sendSeen
-	served   map[NodeID][]sendSeen
-	drawn    map[VolumeID][]sendSeen
-	taken    []Micros
-	extra    []Micros
-	broken   []string
-}
-
-type seen struct {
+	set          Settings
+	startedAt    Micros
+	started      bool
+	requests     map[RequestID]*requestRecord
+	arrivals     []RequestID
+	nodes        map[NodeID]Node
+	stoppedAt    map[NodeID]Micros // when reported as draining or gone
+	sends        map[NodeID][]sendRecord
+	served       map[NodeID][]sendRecord
+	drawn        map[VolumeID][]sendRecord
+	arrivalTimes []Micros
+	retryTimes   []Micros
+	violations   []string
+}
+
+type requestRecord struct {
 	Arrival
 	at       Micros
-	over     bool
+	finished bool
 	answers  int
-	attempts []*trySeen
+	attempts []*attemptRecord
 }
 
-type trySeen struct {
-	node  Node
-	at    Micros
-	done  bool
-	end   Micros
-	how   Outcome
-	rests bool
+type attemptRecord struct {
+	node    Node
+	at      Micros
+	done    bool
+	endedAt Micros
+	outcome Outcome
+	rests   bool
 }
 
-type sendSeen struct {
+type sendRecord struct {
 	at    Micros
 	units float64
 }
 
 func newChecker(s Settings) *checker {
 	return &checker{
-		set: s, reqs: map[RequestID]*seen{}, nodes: map[NodeID]Node{}, stopped: map[NodeID]Micros{},
-		sends: map[NodeID][]sendSeen{}, served: map[NodeID][]sendSeen{}, drawn: map[VolumeID][]sendSeen{},
+		set: s, requests: map[RequestID]*requestRecord{}, nodes: map[NodeID]Node{}, stoppedAt: map[NodeID]Micros{},
+		sends: map[NodeID][]sendRecord{}, served: map[NodeID][]sendRecord{}, drawn: map[VolumeID][]sendRecord{},
 	}
 }
 
 func (c *checker) fail(format string, a ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, a...))
+	c.violations = append(c.violations, fmt.Sprintf(format, a...))
 }
 
-func (t *trySeen) mayHaveRun() bool {
-	return !t.done || t.how == Failed || t.how == TimedOut || t.how == Reset || t.how == Cancelled
+func (t *attemptRecord) mayHaveRun() bool {
+	return !t.done || t.outcome == Failed || t.outcome == TimedOut || t.outcome == Reset || t.outcome == Cancelled
 }
 
-func (c *checker) events(now Micros, events []Event) {
+func (c *checker) recordEvents(now Micros, events []Event) {
 	if !c.started {
-		c.started, c.began = true, now
+		c.started, c.startedAt = true, now
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case Arrival:
-			c.reqs[e.Request] = &seen{Arrival: e, at: now}
+			c.requests[e.Request] = &requestRecord{Arrival: e, at: now}
 			c.arrivals = append(c.arrivals, e.Request)
-			c.taken = append(c.taken, now)
+			c.arrivalTimes = append(c.arrivalTimes, now)
 		case AttemptEnded:
-			r := c.reqs[e.Request]
+			r := c.requests[e.Request]
 			t := r.attempts[e.Attempt]
-			t.done, t.end, t.how = true, now, e.Outcome
+			t.done, t.endedAt, t.outcome = true, now, e.Outcome
 			if e.Outcome == OK {
-				c.served[e.Node] = append(c.served[e.Node], sendSeen{now, r.Units})
+				c.served[e.Node] = append(c.served[e.Node], sendRecord{now, r.Units})
 			}
 			if e.Settled {
-				r.over = true
+				r.finished = true
 			}
 		case ClientGone:
-			c.reqs[e.Request].over = true
+			c.requests[e.Request].finished = true
 		case NodeList:
 			if e.Kind == ListFailed {
 				continue
 			}
 			if e.Kind != ListDelta {
 				for id := range c.nodes {
-					if _, ok := c.stopped[id]; !ok {
-						c.stopped[id] = now
+					if _, ok := c.stoppedAt[id]; !ok {
+						c.stoppedAt[id] = now
 					}
 				}
 			}
 			for _, n := range e.Nodes {
 				c.nodes[n.ID] = n
 				if n.State == Ready {
-					delete(c.stopped, n.ID)
-				} else if _, ok := c.stopped[n.ID]; !ok {
-					c.stopped[n.ID] = now
+					delete(c.stoppedAt, n.ID)
+				} else if _, ok := c.stoppedAt[n.ID]; !ok {
+					c.stoppedAt[n.ID] = now
 				}
 			}
 		}
 	}
 }
 
-func (c *checker) actions(now Micros, actions []Action) {
+func (c *checker) checkActions(now Micros, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			c.send(now, a)
+			c.checkSend(now, a)
 		case Deny:
-			c.answer(now, a.Request, true)
+			c.checkAnswer(now, a.Request, true)
 		case Surrender:
-			c.answer(now, a.Request, false)
+			c.checkAnswer(now, a.Request, false)
 		}
 	}
 }
 
-func (c *checker) answer(now Micros, id RequestID, denied bool) {
-	r := c.reqs[id]
+func (c *checker) checkAnswer(now Micros, id RequestID, denied bool) {
+	r := c.requests[id]
 	if r == nil {
 		c.fail("answer to unknown request %d", id)
 		return
 	}
-	if r.over {
+	if r.finished {
 		c.fail("rule 1: request %d answered after its end", id)
 	}
-	r.over = true
+	r.finished = true
 	if now > r.DropDead+c.set.Rules.AnswerSlack {
 		c.fail("rule 1: request %d answered %d us late", id, now-r.DropDead)
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-func (c *checker) send(now Micros, a Send) {
-	r, n := c.reqs[a.Request], c.nodes[a.Node]
-	if r == nil || r.over {
+func (c *checker) checkSend(now Micros, a Send) {
+	r, n := c.requests[a.Request], c.nodes[a.Node]
+	if r == nil || r.finished {
 		c.fail("rule 1: send for request %d, unknown or over", a.Request)
 		return
 	}
@@ -170,31 +170,31 @@
 			}
 		}
 	}
-	if at, ok := c.stopped[n.ID]; ok && now >= at+rules.StopSending {
+	if at, ok := c.stoppedAt[n.ID]; ok && now >= at+rules.StopSending {
 		c.fail("rule 3: send to node %d that drains or is gone", n.ID)
 	}
-	c.sends[n.ID] = append(c.sends[n.ID], sendSeen{now, r.Units})
+	c.sends[n.ID] = append(c.sends[n.ID], sendRecord{now, r.Units})
 	if n.Started > 0 && now < n.Started+rules.ColdTime {
-		c.cold(now, n)
+		c.checkColdNode(now, n)
 	}
 	if class.InOrder && r.Key != 0 {
-		c.order(now, r)
+		c.checkOrder(now, r)
 	}
 	if len(r.attempts) > 0 {
-		c.extra = append(c.extra, now)
-		c.budget(now)
+		c.retryTimes = append(c.retryTimes, now)
+		c.checkBudget(now)
 	} else if p := c.set.Plans[r.Plan]; p.Limit > 0 {
-		c.drawn[r.Volume] = append(c.drawn[r.Volume], sendSeen{now, r.Units})
-		c.limit(now, r, p)
+		c.drawn[r.Volume] = append(c.drawn[r.Volume], sendRecord{now, r.Units})
+		c.checkLimit(now, r, p)
 	}
-	r.attempts = append(r.attempts, &trySeen{node: n, at: now})
+	r.attempts = append(r.attempts, &attemptRecord{node: n, at: now})
 }
 
-// cold holds a host to its even part of what a cold node bears, grown with the least its capacity grows,
+// checkColdNode holds a host to its even part of what a checkColdNode node bears, grown with the least its capacity grows,
 // or to half the multiple of what the node has served for it within the window.
-func (c *checker) cold(now Micros, n Node) {
+func (c *checker) checkColdNode(now Micros, n Node) {
 	rules := c.set.Rules
-	sum := func(l []sendSeen) (u float64) {
+	sum := func(l []sendRecord) (u float64) {
 		for _, x := range l {
 			if x.at >= now-rules.OverloadTime {
 				u += x.units
@@ -209,30 +209,30 @@
 	}
 }
 
-func (c *checker) order(now Micros, r *seen) {
+func (c *checker) checkOrder(now Micros, r *requestRecord) {
 	for _, id := range c.arrivals {
-		o := c.reqs[id]
+		o := c.requests[id]
 		if o == r {
 			return
 		}
 		if o.Key != r.Key || !c.set.Classes[o.Class].InOrder {
 			continue
 		}
-		if !o.over {
+		if !o.finished {
 			c.fail("rule 6: %d sent before %d was over", r.Request, id)
 		}
 		for _, t := range o.attempts {
 			if !t.done {
 				c.fail("rule 6: %d sent while %d has an attempt out", r.Request, id)
-			} else if (t.how == TimedOut || t.how == Reset || t.how == Cancelled) &&
-				now < t.end+c.set.Rules.OrderPause {
+			} else if (t.outcome == TimedOut || t.outcome == Reset || t.outcome == Cancelled) &&
+				now < t.endedAt+c.set.Rules.OrderPause {
 				c.fail("rule 6: %d sent in the pause after %d", r.Request, id)
 			}
 		}
 	}
 }
 
-func (c *checker) budget(now Micros) {
+func (c *checker) checkBudget(now Micros) {
 	rules := c.set.Rules
 	if rules.BudgetWindow == 0 {
 		return
@@ -245,15 +245,15 @@
 		}
 		return n
 	}
-	if x, most := count(c.extra), rules.BudgetFree+rules.BudgetPerTake*count(c.taken); x > most {
+	if x, most := count(c.retryTimes), rules.BudgetFree+rules.BudgetPerTake*count(c.arrivalTimes); x > most {
 		c.fail("rule 7: %v further attempts, %v allowed", x, most)
 	}
 }
 
-// limit holds the host to an even slice that is empty when the host starts.
-func (c *checker) limit(now Micros, r *seen, p Plan) {
+// checkLimit checks the limit against an even share that is at its lowest when the host starts.
+func (c *checker) checkLimit(now Micros, r *requestRecord, p Plan) {
 	n := r.Attached
-	store, at := -p.LimitSlack/n, c.began
+	store, at := -p.LimitSlack/n, c.startedAt
 	for _, d := range c.drawn[r.Volume] {
 		store = math.Min(store+p.Limit/n*float64(d.at-at)/1e6, p.LimitBurst/n) - d.units
 		at = d.at
@@ -264,12 +264,12 @@
 }
 
 func (c *checker) finish(now Micros) []string {
-	for id, r := range c.reqs {
-		if !r.over {
+	for id, r := range c.requests {
+		if !r.finished {
 			c.fail("rule 1: request %d never answered by %d", id, now)
 		}
 	}
-	return c.broken
+	return c.violations
 }
 
 func ruleSettings() Settings {
@@ -295,48 +295,48 @@
 	}
 }
 
-// script drives a host with seeded random events that are legal on the interface; it models no server.
-type script struct {
-	t       *testing.T
-	rng     *rand.Rand
-	host    *Host
-	check   *checker
-	now     Micros
-	nextID  RequestID
-	out     []outstanding
-	timers  []TimerFired
-	fireAt  []Micros
-	nodes   []Node
-	tries   map[RequestID]int
-	ordered bool
+// scenario drives a host with seeded random events that the interface allows; it models no server.
+type scenario struct {
+	t        *testing.T
+	rng      *rand.Rand
+	host     *Host
+	check    *checker
+	now      Micros
+	nextID   RequestID
+	inFlight []pendingAttempt
+	timers   []TimerFired
+	fireAt   []Micros
+	nodes    []Node
+	attempts map[RequestID]int
+	ordered  bool
 }
 
-type outstanding struct {
+type pendingAttempt struct {
 	id      RequestID
 	attempt int
 	node    NodeID
 	at, end Micros
-	how     Outcome
+	outcome Outcome
 }
 
-func (s *script) step(events []Event) []Action {
-	s.check.events(s.now, events)
+func (s *scenario) step(events []Event) []Action {
+	s.check.recordEvents(s.now, events)
 	actions := s.host.Step(s.now, events, nil)
-	s.check.actions(s.now, actions)
+	s.check.checkActions(s.now, actions)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			r := s.check.reqs[a.Request]
-			o := outstanding{id: a.Request, attempt: s.tries[a.Request], node: a.Node, at: s.now}
-			s.tries[a.Request]++
+			r := s.check.requests[a.Request]
+			o := pendingAttempt{id: a.Request, attempt: s.attempts[a.Request], node: a.Node, at: s.now}
+			s.attempts[a.Request]++
 			if s.rng.IntN(4) == 0 {
-				o.how = []Outcome{Failed, Full, Failed, TimedOut, ConnectFailed, Reset, Moot, OK}[s.rng.IntN(8)]
+				o.outcome = []Outcome{Failed, Full, Failed, TimedOut, ConnectFailed, Reset, Moot, OK}[s.rng.IntN(8)]
 			}
 			o.end = s.now + Micros(s.rng.IntN(120_000)) + ms
-			if o.how == TimedOut || o.end > r.DropDead {
-				o.how, o.end = TimedOut, r.DropDead
+			if o.outcome == TimedOut || o.end > r.DropDead {
+				o.outcome, o.end = TimedOut, r.DropDead
 			}
-			s.out = append(s.out, o)
+			s.inFlight = append(s.inFlight, o)
 		case Wake:
 			s.timers = append(s.timers, TimerFired{a.Token})
 			s.fireAt = append(s.fireAt, s.now+a.After)
@@ -345,7 +345,7 @@
 	return actions
 }
 
-func (s *script) run(steps int) {
+func (s *scenario) run(steps int) {
 	for i := range steps {
 		s.now += 2 * ms
 		var events []Event
@@ -358,29 +358,29 @@
 				j++
 			}
 		}
-		for j := 0; j < len(s.out); {
-			o := s.out[j]
+		for j := 0; j < len(s.inFlight); {
+			o := s.inFlight[j]
 			if o.end > s.now {
 				j++
 				continue
 			}
-			r := s.check.reqs[o.id]
-			events = append(events, AttemptEnded{Request: o.id, Attempt: o.attempt, Node: o.node, Outcome: o.how,
-				Took: s.now - o.at, Settled: r.over || o.how == OK, Load: NoLoad,
+			r := s.check.requests[o.id]
+			events = append(events, AttemptEnded{Request: o.id, Attempt: o.attempt, Node: o.node, Outcome: o.outcome,
+				Took: s.now - o.at, Settled: r.finished || o.outcome == OK, Load: NoLoad,
 				Used: s.rng.IntN(200), Elsewhere: s.rng.IntN(4)})
-			s.out = append(s.out[:j], s.out[j+1:]...)
+			s.inFlight = append(s.inFlight[:j], s.inFlight[j+1:]...)
 		}
 		if i < steps-1700 {
 			for s.rng.IntN(4) == 0 {
 				events = append(events, s.arrival())
 			}
 			if s.rng.IntN(40) == 0 && s.nextID > 1 {
-				if r := s.check.reqs[RequestID(s.rng.IntN(int(s.nextID)-1)+1)]; r != nil && !r.over {
+				if r := s.check.requests[RequestID(s.rng.IntN(int(s.nextID)-1)+1)]; r != nil && !r.finished {
 					events = append(events, ClientGone{r.Request})
 				}
 			}
 			if s.rng.IntN(600) == 0 {
-				events = append(events, s.change())
+				events = append(events, s.nodeChange())
 			}
 		}
 		if len(events) > 0 {
@@ -389,7 +389,7 @@
 	}
 }
 
-func (s *script) arrival() Arrival {
+func (s *scenario) arrival() Arrival {
 	s.nextID++
 	v := s.rng.IntN(6)
 	a := Arrival{Request: s.nextID, Class: s.rng.IntN(5), Cell: s.rng.IntN(6) - 1, Key: uint64(s.rng.IntN(8)),
@@ -398,7 +398,7 @@
 	return a
 }
 
-func (s *script) change() NodeList {
+func (s *scenario) nodeChange() NodeList {
 	n := &s.nodes[s.rng.IntN(len(s.nodes))]
 	switch n.State {
 	case Ready:
@@ -414,13 +414,13 @@
 	return NodeList{Kind: ListDelta, Nodes: []Node{*n}}
 }
 
-func newScript(t *testing.T, set Settings, seed uint64) *script {
+func newScenario(t *testing.T, set Settings, seed uint64) *scenario {
 	h, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{t: t, rng: rand.New(rand.NewPCG(seed, 1)), host: h, check: newChecker(set), now: 7 * sec,
-		tries: map[RequestID]int{}}
+	s := &scenario{t: t, rng: rand.New(rand.NewPCG(seed, 1)), host: h, check: newChecker(set), now: 7 * sec,
+		attempts: map[RequestID]int{}}
 	for i := range 5 {
 		s.nodes = append(s.nodes, Node{ID: NodeID(100 + i), Zone: i % 2, Cell: i, Rating: 1, State: Ready})
 	}
@@ -428,19 +428,19 @@
 	return s
 }
 
-// TestRulesUnderRandomScripts holds the seven rules against scripts of failures, restarts and drains.
+// TestRulesUnderRandomScripts checks the seven rules under random failures, restarts and drains.
 func TestRulesUnderRandomScripts(t *testing.T) {
 	served := 0
 	for seed := range uint64(40) {
-		s := newScript(t, ruleSettings(), seed)
+		s := newScenario(t, ruleSettings(), seed)
 		s.run(4500)
 		for i, b := range s.check.finish(s.now) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, b)
 			}
 		}
-		for _, r := range s.check.reqs {
-			if n := len(r.attempts); n > 0 && r.attempts[n-1].how == OK {
+		for _, r := range s.check.requests {
+			if n := len(r.attempts); n > 0 && r.attempts[n-1].outcome == OK {
 				served++
 			}
 		}
@@ -450,7 +450,7 @@
 	}
 }
 
-// TestCheckerSeesBrokenRules shows that the checker fails on actions that break each rule.
+// TestCheckerSeesBrokenRules checks that the checker reports actions that break a rule, for each rule.
 func TestCheckerSeesBrokenRules(t *testing.T) {
 	node := func(id NodeID, cell int) Node { return Node{ID: id, Cell: cell, Zone: cell % 2, State: Ready} }
 	list := NodeList{Kind: ListFull, Nodes: []Node{node(1, 0), node(2, 1)}}
@@ -503,8 +503,8 @@
 		set.SecondCopies = true
 		ch := newChecker(set)
 		for _, m := range c.moments {
-			ch.events(m.at, m.events)
-			ch.actions(m.at, m.actions)
+			ch.recordEvents(m.at, m.events)
+			ch.checkActions(m.at, m.actions)
 		}
 		if len(ch.finish(5*sec)) == 0 {
 			t.Errorf("%s: the checker saw nothing", c.name)
@@ -512,9 +512,9 @@
 	}
 }
 
-// TestColdTurns: at 200 hosts the even slice of what a cold node bears is a twentieth of a unit. By turns,
-// something goes, and what all hosts send stays under the whole in every overload window, with hosts that
-// restart in the middle of a slot and clocks half a slot apart.
+// TestColdTurns: with 200 hosts the even share of what a cold node tolerates is a twentieth of a unit. With time slots
+// requests are sent, and the sum over all hosts stays below the whole in every overload time, also with hosts that
+// restart within a slot and clocks half a slot apart.
 func TestColdTurns(t *testing.T) {
 	const hosts, restarts = 200, 3
 	type sent struct {
@@ -528,10 +528,10 @@
 		s.Number = number
 		skew := Micros(number%2) * s.Rules.OverloadTime / 4
 		start := 100 * sec
-		var b *bench
+		var b *fixture
 		for now := start; now < start+12*sec; now += 50 * ms {
 			if b == nil || number < restarts && (now-start)%(3*sec) == 250*ms {
-				b = newBench(t, s, 1)
+				b = newFixture(t, s, 1)
 				b.now = now + skew
 				b.h.startedAt = b.now
 				b.step(NodeList{Kind: ListFull, Nodes: []Node{{ID: 1, State: Ready, Started: start}}})
@@ -539,10 +539,10 @@
 			b.now = now + skew
 			n := b.h.sortedNodes[0]
 			n.window, n.wait = [2]float64{2, 2}, 0
-			a := b.ask(0, 4, units(2))
+			a := b.arrival(0, 4, units(2))
 			for range sends(b.step(a)) {
 				all = append(all, sent{now, 2})
-				b.step(end(a.Request, 0, 1, Cancelled))
+				b.step(attemptEnded(a.Request, 0, 1, Cancelled))
 			}
 			b.step(ClientGone{a.Request})
 		}
@@ -566,52 +566,52 @@
 	}
 }
 
-// fleet is many hosts in simulated time, before nodes that serve in turn.
+// fleet models many hosts in simulated time and nodes that serve requests in order.
 type fleet struct {
-	set   Settings
-	now   Micros
-	hosts []*Host
-	nodes []*coldNode
-	out   []flying
-	wakes []map[uint32]Micros
-	ids   RequestID
-	power float64       // what nodes can do, as a multiple of the least that the settings tell
-	way   func() Micros // how long a request is on its way; nil: it arrives at once
-	due   []arrival
-}
-
-// arrival is a request on its way to a node.
+	set         Settings
+	now         Micros
+	hosts       []*Host
+	nodes       []*coldNode
+	inFlight    []flightRecord
+	timers      []map[uint32]Micros
+	lastID      RequestID
+	speed       float64       // speed of the nodes, as a multiple of the least that the settings name
+	transitTime func() Micros // transit time of a request; nil: it arrives at once
+	inTransit   []arrival
+}
+
+// arrival is a request in transit to a node.
 type arrival struct {
 	at    Micros
 	units float64
 	node  *coldNode
 }
 
-// coldNode serves in turn, faster the warmer it is.
+// coldNode serves requests in order, the faster the warmer it is.
 type coldNode struct {
 	Node
-	busy Micros // until then
-	sent []sendSeen
-	most float64 // the most sent within an overload time, as a part of what it bears
+	busyUntil Micros // when its queue is empty
+	sent      []sendRecord
+	maxShare  float64 // largest amount sent within an overload time, as a share of coldCapacity
 }
 
-type flying struct {
+type flightRecord struct {
 	host, attempt int
 	id            RequestID
 	node          *coldNode
-	at            Micros // of its answer
+	at            Micros // time of its answer
 	lost          bool
 }
 
-// bears is what the operators' rule lets all hosts together send a node in an overload time: N and twice its root and
-// two requests, where N is what the settings allow by then.
-func (f *fleet) bears(n *coldNode) float64 {
+// coldCapacity returns what all hosts together may send a node in an overload time, by the operators' rule: N requests
+// plus twice the square root of N plus two, where N is what the settings allow by then.
+func (f *fleet) coldCapacity(n *coldNode) float64 {
 	rules := f.set.Rules
 	requests := rules.ColdUnits * (1 + (1/rules.ColdFrom-1)*f.warmth(n)) / f.set.UnitMean
 	return (requests + 2*math.Sqrt(requests) + 2) * f.set.UnitMean
 }
 
-// warmth goes from 0 at a node's start to 1; before it, it was warm.
+// warmth rises from 0 at a node's start to 1; before its start the node was warm.
 func (f *fleet) warmth(n *coldNode) float64 {
 	if f.now < n.Started {
 		return 1
@@ -620,10 +620,10 @@
 }
 
 func (f *fleet) step(i int, events ...Event) {
-	for token, at := range f.wakes[i] {
+	for token, at := range f.timers[i] {
 		if at <= f.now {
 			events = append(events, TimerFired{token})
-			delete(f.wakes[i], token)
+			delete(f.timers[i], token)
 		}
 	}
 	if len(events) == 0 {
@@ -632,7 +632,7 @@
 	for _, a := range f.hosts[i].Step(f.now, events, nil) {
 		switch a := a.(type) {
 		case Wake:
-			f.wakes[i][a.Token] = f.now + a.After
+			f.timers[i][a.Token] = f.now + a.After
 		case Send:
 			f.send(i, a)
 		}
@@ -643,24 +643,24 @@
 	r := f.hosts[i].requests[a.Request]
 	n := f.nodes[a.Node-1]
 	at := f.now
-	if f.way != nil {
-		at += f.way()
+	if f.transitTime != nil {
+		at += f.transitTime()
 	}
 	if at > f.now {
-		f.due = append(f.due, arrival{at, r.units, n})
+		f.inTransit = append(f.inTransit, arrival{at, r.units, n})
 	} else {
 		f.arrive(n, r.units)
 	}
 	rules := f.set.Rules
-	rate := f.power * rules.ColdUnits / rules.TipMultiple * (1 + (1/rules.ColdFrom-1)*f.warmth(n)) / float64(rules.OverloadTime)
-	n.busy = max(n.busy, at) + Micros(r.units/rate)
-	f.out = append(f.out, flying{i, len(r.attempts) - 1, r.id, n, n.busy, false})
+	rate := f.speed * rules.ColdUnits / rules.TipMultiple * (1 + (1/rules.ColdFrom-1)*f.warmth(n)) / float64(rules.OverloadTime)
+	n.busyUntil = max(n.busyUntil, at) + Micros(r.units/rate)
+	f.inFlight = append(f.inFlight, flightRecord{i, len(r.attempts) - 1, r.id, n, n.busyUntil, false})
 }
 
 // arrive counts what reaches a node within the overload time.
 func (f *fleet) arrive(n *coldNode, units float64) {
 	rules := f.set.Rules
-	n.sent = append(n.sent, sendSeen{f.now, units})
+	n.sent = append(n.sent, sendRecord{f.now, units})
 	for n.sent[0].at < f.now-rules.OverloadTime || n.sent[0].at < n.Started && f.now >= n.Started {
 		n.sent = n.sent[1:]
 	}
@@ -669,75 +669,76 @@
 		for _, s := range n.sent {
 			sum += s.units
 		}
-		n.most = max(n.most, sum/f.bears(n))
+		n.maxShare = max(n.maxShare, sum/f.coldCapacity(n))
 	}
 }
 
-// landDue lets arrive what was on its way.
-func (f *fleet) landDue() {
-	keep := f.due[:0]
-	for _, x := range f.due {
+// deliverArrivals delivers the requests in transit whose time has come.
+func (f *fleet) deliverArrivals() {
+	keep := f.inTransit[:0]
+	for _, x := range f.inTransit {
 		if x.at > f.now {
 			keep = append(keep, x)
 		} else {
 			f.arrive(x.node, x.units)
 		}
 	}
-	f.due = keep
+	f.inTransit = keep
 }
 
-// begin gives a host's place a new process, which is told the nodes as they are.
-func (f *fleet) begin(t *testing.T, i int, seed uint64) {
+// startHost starts a new process of a host with the present node list.
+func (f *fleet) startHost(t *testing.T, i int, seed uint64) {
 	set := f.set
 	set.Number = i
 	h, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.hosts[i], f.wakes[i] = h, map[uint32]Micros{}
+	f.hosts[i], f.timers[i] = h, map[uint32]Micros{}
 	list := NodeList{Kind: ListCached}
 	for _, n := range f.nodes {
 		x := n.Node
 		if x.Started > f.now {
-			x.Started = 0 // as it was before
+			x.Started = 0 // as before that start
 		}
 		list.Nodes = append(list.Nodes, x)
 	}
 	f.step(i, list)
 }
 
-// kill ends a host's process; nobody hears of what was out for it.
-func (f *fleet) kill(i int) {
+// killHost ends a host's process; the outcomes of its attempts in flight are not reported.
+func (f *fleet) killHost(i int) {
 	f.hosts[i] = nil
-	f.out = slices.DeleteFunc(f.out, func(x flying) bool { return x.host == i })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(x flightRecord) bool { return x.host == i })
 }
 
-// A fleet of twenty to thirty processes, or of few, with uneven traffic and a burst, before several nodes that start
-// together and later: all of them together stay within what the operators let a cold node bear, and still use some of it.
+// TestColdRampOverTheFleet: a fleet of twenty to thirty processes, or of few, has uneven traffic with a burst and several
+// nodes that start together and later. All processes together stay within the operators' rule for a cold node and still
+// use some of it.
 func TestColdRampOverTheFleet(t *testing.T) {
 	for seed := range uint64(16) {
-		playColdRamp(t, seed, false)
+		runColdRamp(t, seed, false)
 	}
 }
 
-// The same while seven in ten processes are killed at once, twice, and come back within the time of the rule, and some
-// requests arrive late, as their connections come up late or a link holds them.
+// TestColdRampWhileProcessesRestart: the same while seven in ten processes are killed at once, twice, and return within
+// the rule's time, and some requests arrive late because their connections come up late or a link delays them.
 func TestColdRampWhileProcessesRestart(t *testing.T) {
 	for seed := range uint64(16) {
-		playColdRamp(t, seed, true)
+		runColdRamp(t, seed, true)
 	}
 }
 
-// playColdRamp plays a seed and holds all hosts together against what a cold node bears.
-func playColdRamp(t *testing.T, seed uint64, faults bool) {
+// runColdRamp simulates one seed and checks the sum over all hosts against what a cold node tolerates.
+func runColdRamp(t *testing.T, seed uint64, faults bool) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	hosts := 20 + rng.IntN(11)
 	if seed >= 8 {
 		hosts = 3 + rng.IntN(6)
 	}
-	// Nodes do twice what the settings tell, or hang, so that nothing answered holds anybody back, or answer at
-	// once, as a run of requests for what is near by costs next to nothing.
-	f := &fleet{now: 1000 * sec, set: plain(), power: []float64{2, 0.02, 2, 20}[seed/4]}
+	// Nodes are twice as fast as the settings say, or hang, so that no answer feeds back, or answer at once, as a run of
+	// very cheap requests does.
+	f := &fleet{now: 1000 * sec, set: testSettings(), speed: []float64{2, 0.02, 2, 20}[seed/4]}
 	f.set.ColdByCount = true
 	f.set.Hosts, f.set.Tick, f.set.MaxAttempts, f.set.UnitMean, f.set.UnitTop = hosts, 2*ms, 4, 2, 6
 	f.set.Rules.ColdFrom, f.set.Rules.ColdTime, f.set.Rules.OverloadTime, f.set.Rules.TipMultiple = 0.2, 8*sec, sec, 4
@@ -751,12 +752,12 @@
 	for i := range weight {
 		weight[i] = 1 / float64(1+i)
 		total += weight[i]
-		f.hosts, f.wakes = append(f.hosts, nil), append(f.wakes, nil)
-		f.begin(t, i, seed*100+uint64(i))
+		f.hosts, f.timers = append(f.hosts, nil), append(f.timers, nil)
+		f.startHost(t, i, seed*100+uint64(i))
 	}
-	back := map[int]Micros{} // when a killed one begins anew
+	back := map[int]Micros{} // when a killed process restarts
 	if faults {
-		f.way = func() Micros {
+		f.transitTime = func() Micros {
 			switch x := rng.Float64(); {
 			case x < 0.02:
 				return Micros(rng.Int64N(int64(1500 * ms)))
@@ -766,33 +767,33 @@
 			return 0
 		}
 	}
-	// Two of three nodes' full power is asked for, twice that in a burst.
+	// The load is two thirds of the nodes' full capacity, and more in a burst.
 	full := f.set.Rules.ColdUnits / f.set.Rules.ColdFrom / f.set.Rules.TipMultiple * 2 * 4 // units a second
 	served := 0
 	for f.now < began+14*sec {
 		f.now += 2 * ms
-		f.landDue()
+		f.deliverArrivals()
 		for i := range hosts {
 			if at := f.now - began; faults && (at == 2*sec || at == 5200*ms) && rng.Float64() < 0.7 {
-				f.kill(i)
+				f.killHost(i)
 				back[i] = f.now + Micros(rng.Int64N(int64(800*ms)))
 			}
 			if at, dead := back[i]; dead && f.now >= at {
 				delete(back, i)
-				f.begin(t, i, seed*100+uint64(i)+uint64(f.now))
+				f.startHost(t, i, seed*100+uint64(i)+uint64(f.now))
 			}
 		}
-		keep := f.out[:0]
+		keep := f.inFlight[:0]
 		ended := map[int][]Event{}
-		for _, x := range f.out {
+		for _, x := range f.inFlight {
 			if x.at > f.now {
 				keep = append(keep, x)
 				continue
 			}
 			served++
-			ended[x.host] = append(ended[x.host], end(x.id, x.attempt, x.node.ID, OK))
+			ended[x.host] = append(ended[x.host], attemptEnded(x.id, x.attempt, x.node.ID, OK))
 		}
-		f.out = keep
+		f.inFlight = keep
 		load := 0.67
 		if f.now < began+sec || f.now > began+5*sec && f.now < began+7*sec {
 			load = 3
@@ -808,8 +809,8 @@
 				}
 			}
 			if rng.Float64() < load*full/f.set.UnitMean*0.002*weight[i]/total {
-				f.ids++
-				events = append(events, Arrival{Request: f.ids, Class: 0, Cell: rng.IntN(4), Volume: VolumeID(rng.IntN(40)), Plan: rng.IntN(2),
+				f.lastID++
+				events = append(events, Arrival{Request: f.lastID, Class: 0, Cell: rng.IntN(4), Volume: VolumeID(rng.IntN(40)), Plan: rng.IntN(2),
 					Attached: 3, Units: float64(1 + rng.IntN(3)), DropDead: f.now + 4*sec})
 			}
 			f.step(i, events...)
@@ -817,13 +818,13 @@
 	}
 	most := 0.0
 	for _, n := range f.nodes {
-		most = max(most, n.most)
+		most = max(most, n.maxShare)
 	}
 	t.Logf("seed %d: %d hosts, %v units: at most %.2f of what a node bears, %d served", seed, hosts, f.set.Rules.ColdUnits, most, served)
 	if most > 1 {
 		t.Errorf("seed %d: all together send %.2f of what a cold node bears", seed, most)
 	}
-	if most < 0.1 || served == 0 && !faults { // some nodes hang, and who waits for them is killed
+	if most < 0.1 || served == 0 && !faults { // some nodes hang, and processes that wait for them are killed
 		t.Errorf("seed %d: %.2f of what a cold node bears is used", seed, most)
 	}
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// A process does not know what its predecessor has just sent a cold node: the host's part of a window goes out once.
+// TestRestartedHostSendsAColdNodeNoSecondPart: a process does not know what its predecessor has just sent a cold node;
+// the host's share of an overload time must be sent only once.
 func TestRestartedHostSendsAColdNodeNoSecondPart(t *testing.T) {
 	set := coldSettings()
 	set.Hosts, set.UnitMean, set.Rules.ColdUnits = 3, 2, 30
-	const host = 10 // units of 30 that each of three hosts may send in a window
+	const host = 10 // units of 30 that each of three hosts may send in an overload time
 	var at []Micros // of each unit sent
 	now := 100 * sec
 	started := now - 50*ms
 	for _, lives := range []Micros{200 * ms, 100 * ms, 300 * ms, 1500 * ms} {
-		now += 50 * ms // from the kill of one process to the start of the next
+		now += 50 * ms // between the kill of one process and the start of the next
 		h, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -37,25 +38,26 @@
 				units++
 			}
 		}
-		if units > host+2 { // the part grows a little within the window
+		if units > host+2 { // the share grows a little within the overload time
 			t.Fatalf("%d units in the window from %d, the host's part is %d", units, first, host)
 		}
 	}
 }
 
-// What was sent a cold node before the window and is not answered may arrive within it.
+// TestUnansweredSendsStillCountAtAColdNode: an unanswered request sent to a cold node before the overload time may
+// arrive within it.
 func TestUnansweredSendsStillCountAtAColdNode(t *testing.T) {
 	set := coldSettings()
 	set.Hosts, set.UnitMean = 2, 1
-	b := newBench(t, set, 1)
-	b.wait(sec)
+	b := newFixture(t, set, 1)
+	b.advance(sec)
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Ready, Started: b.now}}})
-	first := sends(b.step(b.ask(1, 0, units(2)), b.ask(1, 0, units(1))))
+	first := sends(b.step(b.arrival(1, 0, units(2)), b.arrival(1, 0, units(1))))
 	if len(first) != 2 {
 		t.Fatalf("sent %v of a part of 3 units", first)
 	}
 	for range 20 {
-		a := b.ask(1, 0, units(1))
+		a := b.arrival(1, 0, units(1))
 		if got := sends(b.after(60*ms, a)); len(got) != 0 {
 			t.Fatalf("sent %v while 3 units, a whole part, may still arrive", got)
 		}
