--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -78,7 +78,8 @@
 	b.drainLimit(s.Plans[2].LimitBurst - 6) // its node has just seen it
 }
 
-// TestUnitsGivenUpAreForgotten: the records of abandoned units are bounded by what a share can send while they are kept.
+// TestUnitsGivenUpAreForgotten: the records of abandoned units are bounded by what a share can send while they are
+// kept.
 func TestUnitsGivenUpAreForgotten(t *testing.T) {
 	s := testSettings()
 	s.DrawnAtNode = true
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -611,7 +611,8 @@
 			t.Errorf("outcome %d: it is pending at the end", how)
 		}
 	}
-	// Finished without having reached a node, it returns its units to the share; if a node may have seen it, it does not.
+	// Finished without having reached a node, it returns its units to the share; if a node may have seen it, it does
+	// not.
 	for how, drawn := range map[Outcome]float64{Moot: 0, Reset: 6} {
 		s := testSettings()
 		s.DrawnAtNode = true
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -190,8 +190,9 @@
 	r.attempts = append(r.attempts, &attemptRecord{node: n, at: now})
 }
 
-// checkColdNode holds a host to its even part of what a checkColdNode node bears, grown with the least its capacity grows,
-// or to half the multiple of what the node has served for it within the window.
+// checkColdNode checks that a host sends no more than its even share of what a cold node tolerates, which grows with
+// the least growth of the node's capacity, or half the overload multiple of what the node has served for it in the
+// time.
 func (c *checker) checkColdNode(now Micros, n Node) {
 	rules := c.set.Rules
 	sum := func(l []sendRecord) (u float64) {
@@ -712,9 +713,9 @@
 	f.inFlight = slices.DeleteFunc(f.inFlight, func(x flightRecord) bool { return x.host == i })
 }
 
-// TestColdRampOverTheFleet: a fleet of twenty to thirty processes, or of few, has uneven traffic with a burst and several
-// nodes that start together and later. All processes together stay within the operators' rule for a cold node and still
-// use some of it.
+// TestColdRampOverTheFleet: a fleet of twenty to thirty processes, or of few, has uneven traffic with a burst and
+// several nodes that start together and later. All processes together stay within the operators' rule for a cold node
+// and still use some of it.
 func TestColdRampOverTheFleet(t *testing.T) {
 	for seed := range uint64(16) {
 		runColdRamp(t, seed, false)
@@ -736,8 +737,8 @@
 	if seed >= 8 {
 		hosts = 3 + rng.IntN(6)
 	}
-	// Nodes are twice as fast as the settings say, or hang, so that no answer feeds back, or answer at once, as a run of
-	// very cheap requests does.
+	// Nodes are twice as fast as the settings say, or hang, so that no answer feeds back, or answer at once, as a run
+	// of very cheap requests does.
 	f := &fleet{now: 1000 * sec, set: testSettings(), speed: []float64{2, 0.02, 2, 20}[seed/4]}
 	f.set.ColdByCount = true
 	f.set.Hosts, f.set.Tick, f.set.MaxAttempts, f.set.UnitMean, f.set.UnitTop = hosts, 2*ms, 4, 2, 6
