--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -43,7 +43,7 @@
 		return logic.Arrival{
 			Request: logic.RequestID(e.Request), Class: int(e.Lane), Cell: int(e.HomeCell), Key: e.Key,
 			Volume: logic.VolumeID(e.Disk), Plan: int(e.Policy), Attached: float64(e.Attached),
-			Units: float64(e.Units), DropDead: logic.Micros(e.DropDead),
+			Units: float64(e.Units), Deadline: logic.Micros(e.DropDead),
 		}
 	case wire.CodeFirstByte:
 		return logic.StreamStarted{Request: logic.RequestID(e.Request), Attempt: int(e.Attempt)}
--- a/logic/api.go
+++ b/logic/api.go
@@ -159,7 +159,7 @@
 	Plan     int
 	Attached float64 // number of hosts through which the volume's requests arrive
 	Units    float64
-	DropDead Micros // when the client stops waiting for this attempt of its own
+	Deadline Micros // when the client stops waiting for this attempt of its own
 	Tried    int    // attempts made earlier under other ids, at cells with the same data
 	Home     bool   // a new object goes only to nodes of this host's zone
 	Once     bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	ask := func(id logic.RequestID, shard int) logic.Arrival {
-		return logic.Arrival{Request: id, Cell: shard, Volume: 1, Attached: 1, Units: 1, DropDead: 4_000_000}
+		return logic.Arrival{Request: id, Cell: shard, Volume: 1, Attached: 1, Units: 1, Deadline: 4_000_000}
 	}
 	do(0, logic.NodeList{Kind: logic.ListFull, Nodes: []logic.Node{{ID: 7, Cell: 0, State: logic.Ready}}})
 	do(1000, ask(1, 0), ask(2, 5))
--- a/logic/limit_fleet_test.go
+++ b/logic/limit_fleet_test.go
@@ -132,7 +132,7 @@
 		f.schedule(f.randomUpTo(2*sec), h, func() { f.stepHost(h, ClientGone{id}) })
 	}
 	f.stepHost(h, Arrival{Request: id, Class: 0, Cell: f.rng.IntN(8), Volume: 7, Plan: 2, Attached: float64(len(f.hosts)),
-		Units: r.units, DropDead: r.deadline})
+		Units: r.units, Deadline: r.deadline})
 }
 
 // stepHost steps a host and carries out its actions.
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -14,7 +14,7 @@
 			b := newFixture(t, s, 20)
 			b.advance(10 * sec) // the share is full, and so is the limit's own bucket
 			late := b.arrival(0, 2, units(6), cell(0), attached(1))
-			late.DropDead += 10 * sec
+			late.Deadline += 10 * sec
 			if len(sends(b.step(late))) != 1 {
 				t.Fatal("not sent")
 			}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -196,7 +196,7 @@
 	r := &request{
 		id: e.Request, seq: h.seq, class: &h.settings.Classes[e.Class], vol: v,
 		cell: max(e.Cell, -1), key: e.Key,
-		units: e.Units, arrivedAt: h.now, deadline: e.DropDead,
+		units: e.Units, arrivedAt: h.now, deadline: e.Deadline,
 		earlierAttempts: max(e.Tried, 0), charged: e.Tried > 0,
 		singleAttempt: e.Once, homeZoneOnly: e.Home && e.Cell < 0,
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -84,7 +84,7 @@
 func (b *fixture) arrival(class, plan int, change ...func(*Arrival)) Arrival {
 	b.next++
 	a := Arrival{Request: b.next, Class: class, Volume: VolumeID(plan), Plan: plan, Attached: 1, Units: 1,
-		DropDead: b.now + b.h.settings.Classes[min(class, len(b.h.settings.Classes)-1)].Deadline}
+		Deadline: b.now + b.h.settings.Classes[min(class, len(b.h.settings.Classes)-1)].Deadline}
 	for _, f := range change {
 		f(&a)
 	}
@@ -92,7 +92,7 @@
 }
 
 func units(u float64) func(*Arrival)       { return func(a *Arrival) { a.Units = u } }
-func withPatience(d Micros) func(*Arrival) { return func(a *Arrival) { a.DropDead += d - 4*sec } }
+func withPatience(d Micros) func(*Arrival) { return func(a *Arrival) { a.Deadline += d - 4*sec } }
 func cell(c int) func(*Arrival)            { return func(a *Arrival) { a.Cell = c } }
 func key(k uint64) func(*Arrival)          { return func(a *Arrival) { a.Key = k } }
 func attached(n float64) func(*Arrival)    { return func(a *Arrival) { a.Attached = n } }
@@ -566,7 +566,7 @@
 		b.advance(10 * sec) // the share is full, as the limit's own bucket is
 		ask := func(i int, u float64) Arrival { return b.arrival(0, 2, units(u), cell(i), attached(1), key(0)) }
 		late := ask(0, 6)
-		late.DropDead += 10 * sec
+		late.Deadline += 10 * sec
 		out := b.step(late)
 		r, attempts := b.h.requests[late.Request], 0
 		for range 150 { // for 3 s its attempts end so, and no other request arrives
@@ -798,7 +798,7 @@
 	held := b.arrival(0, 0)
 	b.step(held)
 	by := b.now + 100*ms
-	if by >= held.DropDead {
+	if by >= held.Deadline {
 		t.Fatal("it would end before that anyway")
 	}
 	if got := b.after(ms, Ending{By: by}); has(got, Deny{Request: held.Request}) {
@@ -828,11 +828,11 @@
 	b.fillWindow()
 	held, out := b.arrival(0, 0), RequestID(1)
 	b.step(held)
-	b.now = held.DropDead - 10*ms
+	b.now = held.Deadline - 10*ms
 	if got := b.step(TimerFired{}); !has(got, Deny{Request: held.Request}) {
 		t.Errorf("%v, want a refusal before dropDead", got)
 	}
-	b.now = held.DropDead
+	b.now = held.Deadline
 	if got := b.step(attemptEnded(out, 0, 1, TimedOut)); !has(got, Deny{Request: out}) {
 		t.Errorf("%v, want an answer to the time-out at the deadline", got)
 	}
@@ -983,7 +983,7 @@
 	a := b.arrival(4, 0)
 	b.step(a)
 	b.after(ms, StreamStarted{Request: a.Request})
-	b.now = a.DropDead + sec
+	b.now = a.Deadline + sec
 	if got := b.step(TimerFired{}); len(got) != 1 || !has(got, Wake{stallThreshold / 2, b.h.token}) {
 		t.Errorf("%v for a stream under way, want no answer", got)
 	}
@@ -1133,7 +1133,7 @@
 			for range backlog {
 				id++
 				h.Step(now, []Event{Arrival{Request: id, Cell: int(id % 50), Volume: VolumeID(id % 400), Attached: 14,
-					Units: 2, Plan: int(id % 5), DropDead: now + 3600*sec}}, nil)
+					Units: 2, Plan: int(id % 5), Deadline: now + 3600*sec}}, nil)
 			}
 			var out []Action
 			for b.Loop() {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -131,8 +131,8 @@
 		c.fail("rule 1: request %d answered after its end", id)
 	}
 	r.finished = true
-	if now > r.DropDead+c.set.Rules.AnswerSlack {
-		c.fail("rule 1: request %d answered %d us late", id, now-r.DropDead)
+	if now > r.Deadline+c.set.Rules.AnswerSlack {
+		c.fail("rule 1: request %d answered %d us late", id, now-r.Deadline)
 	}
 	class := c.set.Classes[r.Class]
 	if denied && class.Repeat != Retryable {
@@ -334,8 +334,8 @@
 				o.outcome = []Outcome{Failed, Full, Failed, TimedOut, ConnectFailed, Reset, Moot, OK}[s.rng.IntN(8)]
 			}
 			o.end = s.now + Micros(s.rng.IntN(120_000)) + ms
-			if o.outcome == TimedOut || o.end > r.DropDead {
-				o.outcome, o.end = TimedOut, r.DropDead
+			if o.outcome == TimedOut || o.end > r.Deadline {
+				o.outcome, o.end = TimedOut, r.Deadline
 			}
 			s.inFlight = append(s.inFlight, o)
 		case Wake:
@@ -395,7 +395,7 @@
 	v := s.rng.IntN(6)
 	a := Arrival{Request: s.nextID, Class: s.rng.IntN(5), Cell: s.rng.IntN(6) - 1, Key: uint64(s.rng.IntN(8)),
 		Volume: VolumeID(v), Plan: v % 2, Attached: float64(v%3 + 1), Units: float64(1 + s.rng.IntN(6))}
-	a.DropDead = s.now + s.check.set.Classes[a.Class].Deadline - Micros(s.rng.IntN(900_000))
+	a.Deadline = s.now + s.check.set.Classes[a.Class].Deadline - Micros(s.rng.IntN(900_000))
 	return a
 }
 
@@ -457,7 +457,7 @@
 	list := NodeList{Kind: ListFull, Nodes: []Node{node(1, 0), node(2, 1)}}
 	arrive := func(id RequestID, class int, key uint64) Arrival {
 		return Arrival{Request: id, Class: class, Key: key, Volume: 1, Plan: 1, Attached: 1, Units: 1,
-			DropDead: 3 * sec}
+			Deadline: 3 * sec}
 	}
 	cold := list
 	cold.Nodes = []Node{{ID: 1, State: Ready, Started: 1}}
@@ -493,7 +493,7 @@
 			{sec, nil, []Action{Send{Request: 1, Node: 1}, Deny{Request: 1}}}}},
 		{"4: cold", []moment{{ms, []Event{cold, large}, []Action{Send{Request: 1, Node: 1}, Deny{Request: 1}}}}},
 		{"5: limit", []moment{{0, []Event{list, Arrival{Request: 1, Volume: 1, Attached: 2, Units: 6,
-			DropDead: sec}}, []Action{Send{Request: 1, Node: 1}, Deny{Request: 1}}}}},
+			Deadline: sec}}, []Action{Send{Request: 1, Node: 1}, Deny{Request: 1}}}}},
 		{"6: out of turn", []moment{{0, []Event{list, arrive(1, 1, 9), arrive(2, 1, 9)},
 			[]Action{Send{Request: 2, Node: 1}, Deny{Request: 1}, Surrender{2}}}}},
 		{"7: budget", []moment{{0, []Event{list, arrive(1, 0, 0)}, []Action{Send{Request: 1, Node: 1},
@@ -812,7 +812,7 @@
 			if rng.Float64() < load*full/f.set.UnitMean*0.002*weight[i]/total {
 				f.lastID++
 				events = append(events, Arrival{Request: f.lastID, Class: 0, Cell: rng.IntN(4), Volume: VolumeID(rng.IntN(40)), Plan: rng.IntN(2),
-					Attached: 3, Units: float64(1 + rng.IntN(3)), DropDead: f.now + 4*sec})
+					Attached: 3, Units: float64(1 + rng.IntN(3)), Deadline: f.now + 4*sec})
 			}
 			f.step(i, events...)
 		}
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -21,7 +21,7 @@
 		id := RequestID(0)
 		for end := now + lives; now < end; now += 5 * ms {
 			id++
-			arrival := Arrival{Request: id, Cell: 0, Volume: VolumeID(id), Plan: 3, Attached: 1, Units: 1, DropDead: now + sec}
+			arrival := Arrival{Request: id, Cell: 0, Volume: VolumeID(id), Plan: 3, Attached: 1, Units: 1, Deadline: now + sec}
 			for _, sent := range sends(h.Step(now, []Event{arrival}, nil)) {
 				at = append(at, now)
 				h.Step(now, []Event{AttemptEnded{Request: sent, Node: 1, Outcome: Failed, Load: NoLoad}}, nil)
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -73,7 +73,7 @@
 		l.id++
 		plan := rapid.IntRange(0, 1).Draw(t, "plan")
 		events = append(events, logic.Arrival{Request: l.id, Class: rapid.IntRange(0, 1).Draw(t, "class"), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
-			Key: uint64(l.id), Volume: logic.VolumeID(plan*2 + rapid.IntRange(0, 1).Draw(t, "volume")), Plan: plan, Attached: 2, Units: 1, DropDead: l.now + 2*sec})
+			Key: uint64(l.id), Volume: logic.VolumeID(plan*2 + rapid.IntRange(0, 1).Draw(t, "volume")), Plan: plan, Attached: 2, Units: 1, Deadline: l.now + 2*sec})
 	}
 	for len(l.inFlight) > 0 && rapid.Bool().Draw(t, "end") {
 		s := l.inFlight[0]
@@ -135,7 +135,7 @@
 			a.timers = nil
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				a.id++
-				events = append(events, logic.Arrival{Request: a.id, Cell: rapid.IntRange(0, 2).Draw(t, "cell"), Volume: 2, Plan: 1, Attached: 2, Units: 1, DropDead: a.now + 2*sec})
+				events = append(events, logic.Arrival{Request: a.id, Cell: rapid.IntRange(0, 2).Draw(t, "cell"), Volume: 2, Plan: 1, Attached: 2, Units: 1, Deadline: a.now + 2*sec})
 			}
 			for len(a.inFlight) > 0 && rapid.Bool().Draw(t, "end") {
 				s := a.inFlight[0]
