--- a/logic/api.go
+++ b/logic/api.go
@@ -151,18 +151,18 @@
 
 // Arrival is a new request, to which the host must give a final answer.
 type Arrival struct {
-	Request  RequestID
-	Class    int
-	Cell     int // shard that holds the data; negative: a new object, which any node may take
-	Key      uint64
-	Volume   VolumeID
-	Plan     int
-	Attached float64 // number of hosts through which the volume's requests arrive
-	Units    float64
-	Deadline Micros // when the client stops waiting for this attempt of its own
-	Tried    int    // attempts made earlier under other ids, at cells with the same data
-	Home     bool   // a new object goes only to nodes of this host's zone
-	Once     bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
+	Request         RequestID
+	Class           int
+	Cell            int // shard that holds the data; negative: a new object, which any node may take
+	Key             uint64
+	Volume          VolumeID
+	Plan            int
+	Attached        float64 // number of hosts through which the volume's requests arrive
+	Units           float64
+	Deadline        Micros // when the client stops waiting for this attempt of its own
+	EarlierAttempts int    // attempts made earlier under other ids, at cells with the same data
+	Home            bool   // a new object goes only to nodes of this host's zone
+	Once            bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
 }
 
 // StreamStarted reports that an answer has begun to stream: the request no longer has a deadline.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -184,7 +184,7 @@
 	if h.requests[e.Request] != nil {
 		return
 	}
-	if h.settings.Rules.BudgetWindow > 0 && e.Tried <= 0 {
+	if h.settings.Rules.BudgetWindow > 0 && e.EarlierAttempts <= 0 {
 		h.recentArrivals = append(h.recentArrivals, h.now)
 	}
 	if e.Class < 0 || e.Class >= len(h.settings.Classes) {
@@ -197,7 +197,7 @@
 		id: e.Request, seq: h.seq, class: &h.settings.Classes[e.Class], vol: v,
 		cell: max(e.Cell, -1), key: e.Key,
 		units: e.Units, arrivedAt: h.now, deadline: e.Deadline,
-		earlierAttempts: max(e.Tried, 0), charged: e.Tried > 0,
+		earlierAttempts: max(e.EarlierAttempts, 0), charged: e.EarlierAttempts > 0,
 		singleAttempt: e.Once, homeZoneOnly: e.Home && e.Cell < 0,
 	}
 	if !(r.units > 0) || math.IsInf(r.units, 0) {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -893,7 +893,7 @@
 	s := testSettings()
 	s.Rules.BudgetWindow, s.Rules.BudgetFree, s.Rules.BudgetPerTake, s.MaxAttempts = sec, 1, 0, 3
 	b := newFixture(t, s, 1)
-	tried := func(n int) func(*Arrival) { return func(a *Arrival) { a.Tried = n } }
+	tried := func(n int) func(*Arrival) { return func(a *Arrival) { a.EarlierAttempts = n } }
 	got := b.step(b.arrival(0, 2, tried(2)))
 	if len(sends(got)) != 1 || b.h.volumes[2].tokens > 0 {
 		t.Fatalf("sent %v, the limit's store holds %v", sends(got), b.h.volumes[2].tokens)
