--- a/logic/api.go
+++ b/logic/api.go
@@ -161,7 +161,7 @@
 	Units           float64
 	Deadline        Micros // when the client stops waiting for this attempt of its own
 	EarlierAttempts int    // attempts made earlier under other ids, at cells with the same data
-	Home            bool   // a new object goes only to nodes of this host's zone
+	HomeZoneOnly    bool   // a new object goes only to nodes of this host's zone
 	Once            bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -940,7 +940,7 @@
 	s.Zone = 1
 	b := newFixture(t, s, 3)
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 3, Cell: 2, Zone: 1, State: Ready}}})
-	home := func(a *Arrival) { a.Home = true }
+	home := func(a *Arrival) { a.HomeZoneOnly = true }
 	for i := range 6 {
 		for _, a := range b.step(b.arrival(0, 0, cell(-1), home)) {
 			if s, ok := a.(Send); ok && s.Node != 3 {
