--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -305,7 +305,7 @@
 	p.held = false
 	a := logic.Arrival{
 		Request: p.id, Class: p.op.Class, Cell: p.cell(), Key: key, Volume: logic.VolumeID(p.vol.Account),
-		Plan: p.vol.Plan, Attached: p.vol.Attached, Units: p.units, Deadline: p.dropDead, EarlierAttempts: p.tries, Once: p.way.GiveUpEarly,
+		Plan: p.vol.Plan, Attached: p.vol.Attached, Units: p.units, Deadline: p.dropDead, EarlierAttempts: p.tries, SingleAttempt: p.way.GiveUpEarly,
 	}
 	a.HomeZoneOnly = p.object != nil && p.object.HomeOnly
 	if p.op.fill != nil { // a queue of its own, so that it yields to the volume's
--- a/logic/api.go
+++ b/logic/api.go
@@ -162,7 +162,7 @@
 	Deadline        Micros // when the client stops waiting for this attempt of its own
 	EarlierAttempts int    // attempts made earlier under other ids, at cells with the same data
 	HomeZoneOnly    bool   // a new object goes only to nodes of this host's zone
-	Once            bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
+	SingleAttempt   bool   // the caller has an alternative: ended when one attempt fails or the aim cannot be met here
 }
 
 // StreamStarted reports that an answer has begun to stream: the request no longer has a deadline.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -198,7 +198,7 @@
 		cell: max(e.Cell, -1), key: e.Key,
 		units: e.Units, arrivedAt: h.now, deadline: e.Deadline,
 		earlierAttempts: max(e.EarlierAttempts, 0), charged: e.EarlierAttempts > 0,
-		singleAttempt: e.Once, homeZoneOnly: e.HomeZoneOnly && e.Cell < 0,
+		singleAttempt: e.SingleAttempt, homeZoneOnly: e.HomeZoneOnly && e.Cell < 0,
 	}
 	if !(r.units > 0) || math.IsInf(r.units, 0) {
 		r.units = 1 // not a valid size
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -913,7 +913,7 @@
 // met; and a cell is down during the backoff of its node after a failed connection.
 func TestOnceAndDown(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
-	once := func(a *Arrival) { a.Once = true }
+	once := func(a *Arrival) { a.SingleAttempt = true }
 	b.step(b.arrival(0, 0, once))
 	if b.h.Down(0) || !b.h.Down(7) {
 		t.Error("down before anything failed, or a cell that nobody holds is not")
