--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -7,7 +7,7 @@
 
 var outcomes = map[uint8]logic.Outcome{
 	10: logic.OK, 20: logic.Failed, 30: logic.Full, 40: logic.TimedOut,
-	50: logic.ConnectFailed, 60: logic.Reset, 70: logic.Cancelled, 80: logic.Moot,
+	50: logic.ConnectFailed, 60: logic.Reset, 70: logic.Cancelled, 80: logic.NotSent,
 }
 
 var states = map[uint8]logic.NodeState{0: logic.Gone, 1: logic.Ready, 2: logic.Draining}
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -507,7 +507,7 @@
 	switch {
 	case !room:
 		c.budget.Refund(now, a.asked)
-		c.tell(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
+		c.tell(now, a, block.Result{Outcome: logic.NotSent, Load: logic.NoLoad})
 		c.recycle(a)
 		return
 	case op.Kind == block.Write:
@@ -519,7 +519,7 @@
 		if !p.vol.memory.TryAcquire(p.len) {
 			c.tally.NoMemory++
 			c.budget.Refund(now, a.asked)
-			c.tell(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
+			c.tell(now, a, block.Result{Outcome: logic.NotSent, Load: logic.NoLoad})
 			c.recycle(a)
 			return
 		}
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -147,7 +147,7 @@
 			a := w.out[i]
 			w.out = append(w.out[:i], w.out[i+1:]...)
 			x := a.Owner.(*attempt)
-			if x.drive.Pending() && o != logic.Full && o != logic.Moot && o != logic.ConnectFailed {
+			if x.drive.Pending() && o != logic.Full && o != logic.NotSent && o != logic.ConnectFailed {
 				if cl := w.live[x.p.op]; cl != nil {
 					cl.mayHave, cl.pieces[x.p] = true, true
 				}
@@ -177,7 +177,7 @@
 				core.Take(w.now, op)
 				w.step()
 			case k < 7 && len(w.out) > 0:
-				o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.OK, logic.OK, logic.Failed, logic.Full, logic.Reset, logic.Moot,
+				o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.OK, logic.OK, logic.Failed, logic.Full, logic.Reset, logic.NotSent,
 					logic.ConnectFailed, logic.Cancelled}).Draw(t, "outcome")
 				end(rapid.IntRange(0, len(w.out)-1).Draw(t, "which"), o)
 			case k < 8 && len(w.live) > 0:
--- a/internal/nvme/initiator/initiator_test.go
+++ b/internal/nvme/initiator/initiator_test.go
@@ -185,13 +185,13 @@
 	for i, a := range all {
 		r, _ := s.result(a)
 		got[r.Outcome]++
-		if r.Outcome == logic.Moot {
+		if r.Outcome == logic.NotSent {
 			seenMoot = true
 		} else if seenMoot {
 			t.Errorf("attempt %d was sent, an earlier one was not", i)
 		}
 	}
-	if got[logic.Reset] == 0 || got[logic.Moot] == 0 || got[logic.Reset]+got[logic.Moot] != len(all) {
+	if got[logic.Reset] == 0 || got[logic.NotSent] == 0 || got[logic.Reset]+got[logic.NotSent] != len(all) {
 		t.Errorf("outcomes %v, want some that may have run and some that never did", got)
 	}
 	peer.Set(func(t *standin.Trouble) { t.Blind = false })
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -621,7 +621,7 @@
 	a := t.attempt
 	ns, ok := (*s.namespaces.Load())[a.Namespace]
 	if !ok {
-		return logic.Moot, false
+		return logic.NotSent, false
 	}
 	if a.Kind == block.Flush {
 		if !s.ctl.WriteCache {
@@ -635,7 +635,7 @@
 		ns.ReadOnly && a.Kind.Changes() {
 		n.cfg.Log.Warn("extent does not fit its namespace", zap.Uint32("namespace", a.Namespace),
 			zap.Int64("offset", a.Offset), zap.Int64("bytes", a.Len), zap.Int64("block", blockSize))
-		return logic.Moot, false
+		return logic.NotSent, false
 	}
 	opcode, maxLen := uint8(nvme.OpRead), s.maxTransfer/blockSize*blockSize
 	switch a.Kind {
--- a/internal/nvme/initiator/outcome.go
+++ b/internal/nvme/initiator/outcome.go
@@ -23,12 +23,12 @@
 	nvme.ANATransition:     logic.Full,
 
 	// Refused because of what the command asks for; this says nothing about the node's load.
-	nvme.InvalidOpcode:    logic.Moot,
-	nvme.InvalidField:     logic.Moot,
-	nvme.InvalidNamespace: logic.Moot,
-	nvme.SGLLengthInvalid: logic.Moot,
-	nvme.LBAOutOfRange:    logic.Moot,
-	nvme.WriteProtected:   logic.Moot,
+	nvme.InvalidOpcode:    logic.NotSent,
+	nvme.InvalidField:     logic.NotSent,
+	nvme.InvalidNamespace: logic.NotSent,
+	nvme.SGLLengthInvalid: logic.NotSent,
+	nvme.LBAOutOfRange:    logic.NotSent,
+	nvme.WriteProtected:   logic.NotSent,
 
 	nvme.AbortRequested:   logic.Cancelled,
 	nvme.AbortedSQDeleted: logic.Cancelled,
@@ -44,7 +44,7 @@
 
 // neverRan reports whether an outcome guarantees that the command was not executed.
 func neverRan(o logic.Outcome) bool {
-	return o == logic.Full || o == logic.Moot || o == logic.ConnectFailed
+	return o == logic.Full || o == logic.NotSent || o == logic.ConnectFailed
 }
 
 // combineOutcomes returns the outcome of an attempt whose commands ended with a and b: the one that guarantees least.
--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -237,7 +237,7 @@
 		} else { // commands that have no slot yet are never sent
 			t.unfinished -= len(t.commands) - t.next
 			t.next = len(t.commands)
-			t.outcome = combineOutcomes(t.outcome, logic.Moot)
+			t.outcome = combineOutcomes(t.outcome, logic.NotSent)
 		}
 	}
 	if t.unfinished > 0 {
@@ -274,7 +274,7 @@
 			q.droppedSlots++
 			abort(q.id, q.cid(index))
 		} else {
-			last = q.finishCommand(s, logic.Moot)
+			last = q.finishCommand(s, logic.NotSent)
 		}
 	}
 	q.mu.Unlock()
@@ -303,7 +303,7 @@
 	var ended []*task
 	for i := range q.slots {
 		if s := &q.slots[i]; s.busy {
-			o := logic.Moot
+			o := logic.NotSent
 			if s.sendStarted {
 				o = logic.Reset
 			}
--- a/internal/platform/target/target.go
+++ b/internal/platform/target/target.go
@@ -148,7 +148,7 @@
 	}
 	if !hasCapacity {
 		b.mu.Unlock()
-		b.sink.Ended(a, core.Result{Outcome: logic.Moot, Load: logic.NoLoad}) // nothing was sent
+		b.sink.Ended(a, core.Result{Outcome: logic.NotSent, Load: logic.NoLoad}) // nothing was sent
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), b.settings.ConnectTimeout)
@@ -455,7 +455,7 @@
 		}
 	}
 	if c.recalled && !c.written {
-		outcome = logic.Moot // the outcome says nothing about the target
+		outcome = logic.NotSent // the outcome says nothing about the target
 	}
 	if outcome != logic.Failed && !c.dropped {
 		b.spares.RecordOutcome(b.sink.Now(), &c.spare, true)
--- a/internal/platform/target/target_test.go
+++ b/internal/platform/target/target_test.go
@@ -195,17 +195,17 @@
 		meanwhile func(d *testBack, a *core.Attempt)
 		want      logic.Outcome
 	}{
-		"client left": {func(d *testBack, a *core.Attempt) { d.back.CancelUnsent(a) }, logic.Moot},
+		"client left": {func(d *testBack, a *core.Attempt) { d.back.CancelUnsent(a) }, logic.NotSent},
 		"timed out":   {func(d *testBack, a *core.Attempt) { d.back.Cancel(a) }, logic.ConnectFailed},
-		"its time up": {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.Moot},
-		"forgotten":   {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.Moot},
-		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.AcceptsWork = false }) }, logic.Moot},
+		"its time up": {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(2 * second)) }, logic.NotSent},
+		"forgotten":   {func(d *testBack, a *core.Attempt) { d.clock.Add(int64(second)) }, logic.NotSent},
+		"drains":      {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.AcceptsWork = false }) }, logic.NotSent},
 		"moved": {func(d *testBack, a *core.Attempt) {
 			d.changeTarget(func(p *core.Endpoint) { p.Address = "127.0.0.1:9" })
-		}, logic.Moot},
-		"new start":   {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.Started++ }) }, logic.Moot},
-		"other shard": {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.Cell++ }) }, logic.Moot},
-		"gone":        {func(d *testBack, a *core.Attempt) { d.back.SetTargets(d.Now(), nil) }, logic.Moot},
+		}, logic.NotSent},
+		"new start":   {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.Started++ }) }, logic.NotSent},
+		"other shard": {func(d *testBack, a *core.Attempt) { d.changeTarget(func(p *core.Endpoint) { p.Cell++ }) }, logic.NotSent},
+		"gone":        {func(d *testBack, a *core.Attempt) { d.back.SetTargets(d.Now(), nil) }, logic.NotSent},
 		"back in time": {func(d *testBack, a *core.Attempt) {
 			d.back.SetTargets(d.Now(), nil)
 			d.changeTarget(func(*core.Endpoint) {})
--- a/internal/platform/trace/trace.go
+++ b/internal/platform/trace/trace.go
@@ -75,7 +75,7 @@
 
 // OutcomeNames are the names of the outcomes in a trace.
 var OutcomeNames = [...]string{logic.OK: "ok", logic.Failed: "failed", logic.Full: "full", logic.TimedOut: "timeout",
-	logic.ConnectFailed: "connect", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.Moot: "moot"}
+	logic.ConnectFailed: "connect", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.NotSent: "moot"}
 
 // Report is the result of comparing the two sides of a trace.
 type Report struct {
--- a/logic/api.go
+++ b/logic/api.go
@@ -143,7 +143,7 @@
 	ConnectFailed                // no connection; never ran
 	Reset                        // the connection broke; may have run
 	Cancelled                    // aborted; may have run
-	Moot                         // not sent; never ran
+	NotSent                      // not sent; never ran
 )
 
 // Event is an input of a host. The events of one Step happen at the same time, in the given order.
--- a/logic/limit_fleet_test.go
+++ b/logic/limit_fleet_test.go
@@ -181,7 +181,7 @@
 	case x < 0.1:
 		ends(way, ConnectFailed)
 	case x < 0.15:
-		ends(way, Moot)
+		ends(way, NotSent)
 	case x < 0.2: // reset on its way
 		ends(way, Reset)
 	case x < 0.22: // answered before its last byte was sent
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -558,7 +558,7 @@
 // which returns its units. Charged at their first send only, such requests broke the limit on short runs.
 func TestLimitCountsWhatReachesNodes(t *testing.T) {
 	const silence = Outcome(99) // no outcome is reported
-	for _, how := range []Outcome{silence, OK, Failed, Full, ConnectFailed, Moot, Reset, TimedOut} {
+	for _, how := range []Outcome{silence, OK, Failed, Full, ConnectFailed, NotSent, Reset, TimedOut} {
 		s := testSettings()
 		s.DrawnAtNode = true
 		plan := s.Plans[2]
@@ -613,7 +613,7 @@
 	}
 	// Finished without having reached a node, it returns its units to the share; if a node may have seen it, it does
 	// not.
-	for how, drawn := range map[Outcome]float64{Moot: 0, Reset: 6} {
+	for how, drawn := range map[Outcome]float64{NotSent: 0, Reset: 6} {
 		s := testSettings()
 		s.DrawnAtNode = true
 		b := newFixture(t, s, 1)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -331,7 +331,7 @@
 			o := pendingAttempt{id: a.Request, attempt: s.attempts[a.Request], node: a.Node, at: s.now}
 			s.attempts[a.Request]++
 			if s.rng.IntN(4) == 0 {
-				o.outcome = []Outcome{Failed, Full, Failed, TimedOut, ConnectFailed, Reset, Moot, OK}[s.rng.IntN(8)]
+				o.outcome = []Outcome{Failed, Full, Failed, TimedOut, ConnectFailed, Reset, NotSent, OK}[s.rng.IntN(8)]
 			}
 			o.end = s.now + Micros(s.rng.IntN(120_000)) + ms
 			if o.outcome == TimedOut || o.end > r.Deadline {
