--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -141,7 +141,7 @@
 	case logic.Abort:
 		a.reply.AbortAttempt(i, uint64(act.Request), uint16(act.Attempt))
 	case logic.Deny:
-		a.reply.Deny(i, uint64(act.Request), uint32(act.CoolDown))
+		a.reply.Deny(i, uint64(act.Request), uint32(act.RetryAfter))
 	case logic.Surrender:
 		a.reply.Surrender(i, uint64(act.Request))
 	case logic.Wake:
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -444,7 +444,7 @@
 	case logic.Send:
 		c.send(now, x)
 	case logic.Deny:
-		c.refuse(now, x.Request, ranges.Refused, x.CoolDown)
+		c.refuse(now, x.Request, ranges.Refused, x.RetryAfter)
 	case logic.Surrender:
 		c.refuse(now, x.Request, ranges.Failed, 0)
 	case logic.Wake: // seen to by drive
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -258,7 +258,7 @@
 	case logic.Deny:
 		if e := c.entries[x.Request]; e != nil && e.request != nil {
 			limited := c.host.Limited(e.volume, e.units)
-			c.answerRequest(now, e, Answer{Verdict: Refused, CoolDown: x.CoolDown, Limited: limited})
+			c.answerRequest(now, e, Answer{Verdict: Refused, CoolDown: x.RetryAfter, Limited: limited})
 		}
 	case logic.Surrender:
 		if e := c.entries[x.Request]; e != nil && e.request != nil {
--- a/logic/api.go
+++ b/logic/api.go
@@ -249,8 +249,8 @@
 
 // Deny is a final answer: the request was refused and a retry does no harm.
 type Deny struct {
-	Request  RequestID
-	CoolDown Micros // how long the client should wait before it retries; 0: no advice
+	Request    RequestID
+	RetryAfter Micros // how long the client should wait before it retries; 0: no advice
 }
 
 // Surrender is a final answer: the request failed and may have had an effect.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -352,7 +352,7 @@
 	if r.class.Repeat == Retryable || !r.mayHaveRun && r.inFlight == 0 {
 		deny := Deny{Request: r.id}
 		if h.settings.CoolDowns {
-			deny.CoolDown = min(h.earliestSend(r, false)-h.now, h.settings.MaxCoolDown)
+			deny.RetryAfter = min(h.earliestSend(r, false)-h.now, h.settings.MaxCoolDown)
 		}
 		h.emit(deny)
 	} else {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1237,7 +1237,7 @@
 			got := b.step(a)
 			deny := Deny{Request: a.Request}
 			if told {
-				deny.CoolDown = c.again
+				deny.RetryAfter = c.again
 			}
 			if has(got, deny) == c.held {
 				t.Errorf("%s, told %v: %v, held %v, want %v", c.name, told, got, !has(got, deny), c.held)
@@ -1275,7 +1275,7 @@
 	if len(got) == 0 {
 		t.Fatal("no answer in the step of the last outcome")
 	}
-	if d, ok := got[0].(Deny); !ok || d.Request != 1 || d.CoolDown > s.MaxCoolDown {
+	if d, ok := got[0].(Deny); !ok || d.Request != 1 || d.RetryAfter > s.MaxCoolDown {
 		t.Errorf("%v, want a refusal", got)
 	}
 }
@@ -1450,8 +1450,8 @@
 	denied := func(actions []Action) (ids []RequestID) {
 		for _, a := range actions {
 			if d, ok := a.(Deny); ok {
-				if ids = append(ids, d.Request); d.CoolDown < 100*ms {
-					t.Errorf("%d is told to come back in %d us", d.Request, d.CoolDown)
+				if ids = append(ids, d.Request); d.RetryAfter < 100*ms {
+					t.Errorf("%d is told to come back in %d us", d.Request, d.RetryAfter)
 				}
 			}
 		}
