--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -140,7 +140,7 @@
 		a.reply.SubmitTo(i, uint64(act.Request), uint32(act.Node), uint64(act.StopAt))
 	case logic.Abort:
 		a.reply.AbortAttempt(i, uint64(act.Request), uint16(act.Attempt))
-	case logic.Deny:
+	case logic.Refuse:
 		a.reply.Deny(i, uint64(act.Request), uint32(act.RetryAfter))
 	case logic.Surrender:
 		a.reply.Surrender(i, uint64(act.Request))
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -443,7 +443,7 @@
 	switch x := x.(type) {
 	case logic.Send:
 		c.send(now, x)
-	case logic.Deny:
+	case logic.Refuse:
 		c.refuse(now, x.Request, ranges.Refused, x.RetryAfter)
 	case logic.Surrender:
 		c.refuse(now, x.Request, ranges.Failed, 0)
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -255,7 +255,7 @@
 	case logic.Wake: // its timer is set by package drive
 	case logic.Send:
 		c.send(now, x)
-	case logic.Deny:
+	case logic.Refuse:
 		if e := c.entries[x.Request]; e != nil && e.request != nil {
 			limited := c.host.Limited(e.volume, e.units)
 			c.answerRequest(now, e, Answer{Verdict: Refused, CoolDown: x.RetryAfter, Limited: limited})
--- a/logic/api.go
+++ b/logic/api.go
@@ -247,8 +247,8 @@
 	Attempt int
 }
 
-// Deny is a final answer: the request was refused and a retry does no harm.
-type Deny struct {
+// Refuse is a final answer: the request was refused and a retry does no harm.
+type Refuse struct {
 	Request    RequestID
 	RetryAfter Micros // how long the client should wait before it retries; 0: no advice
 }
@@ -276,7 +276,7 @@
 
 func (Send) action()      {}
 func (Abort) action()     {}
-func (Deny) action()      {}
+func (Refuse) action()    {}
 func (Surrender) action() {}
 func (Wake) action()      {}
 func (Probe) action()     {}
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -22,7 +22,7 @@
 			switch a := action.(type) {
 			case logic.Send:
 				fmt.Printf("%d us: send request %d to node %d\n", now, a.Request, a.Node)
-			case logic.Deny:
+			case logic.Refuse:
 				fmt.Printf("%d us: refuse request %d\n", now, a.Request)
 			case logic.Wake:
 				// start a timer; pass TimerFired{a.Token} to Step when it fires
--- a/logic/limit_fleet_test.go
+++ b/logic/limit_fleet_test.go
@@ -146,7 +146,7 @@
 		switch x := action.(type) {
 		case Send:
 			f.send(h, x)
-		case Deny:
+		case Refuse:
 			h.requests[x.Request].finished = true
 		case Surrender:
 			h.requests[x.Request].finished = true
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -188,7 +188,7 @@
 		h.recentArrivals = append(h.recentArrivals, h.now)
 	}
 	if e.Class < 0 || e.Class >= len(h.settings.Classes) {
-		h.emit(Deny{Request: e.Request})
+		h.emit(Refuse{Request: e.Request})
 		return
 	}
 	v := h.volumeFor(e)
@@ -350,7 +350,7 @@
 // to come back, if a retry is certain to do no harm; otherwise it fails.
 func (h *Host) answerUnserved(r *request) {
 	if r.class.Repeat == Retryable || !r.mayHaveRun && r.inFlight == 0 {
-		deny := Deny{Request: r.id}
+		deny := Refuse{Request: r.id}
 		if h.settings.CoolDowns {
 			deny.RetryAfter = min(h.earliestSend(r, false)-h.now, h.settings.MaxCoolDown)
 		}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -643,7 +643,7 @@
 func TestLimitTooLargeIsAnswered(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	a := b.arrival(0, 2, attached(2), units(60))
-	if got := b.step(a); !has(got, Deny{Request: a.Request}) {
+	if got := b.step(a); !has(got, Refuse{Request: a.Request}) {
 		t.Errorf("%v, want a refusal in the same step", got)
 	}
 }
@@ -748,7 +748,7 @@
 		{Kind: ListFull},
 	} {
 		b := newFixture(t, testSettings(), 1)
-		if got := b.step(list, b.arrival(0, 0)); !has(got, Deny{Request: 1}) || len(sends(got)) != 0 {
+		if got := b.step(list, b.arrival(0, 0)); !has(got, Refuse{Request: 1}) || len(sends(got)) != 0 {
 			t.Errorf("%v: %v, want a refusal at once and no send", list, got)
 		}
 		again := NodeList{Kind: ListDelta, Nodes: []Node{{ID: 7, Cell: 0, State: Ready}}}
@@ -801,7 +801,7 @@
 	if by >= held.Deadline {
 		t.Fatal("it would end before that anyway")
 	}
-	if got := b.after(ms, Ending{By: by}); has(got, Deny{Request: held.Request}) {
+	if got := b.after(ms, Ending{By: by}); has(got, Refuse{Request: held.Request}) {
 		t.Fatal("given up too early")
 	}
 	b.now = by - answerMargin - ms
@@ -829,11 +829,11 @@
 	held, out := b.arrival(0, 0), RequestID(1)
 	b.step(held)
 	b.now = held.Deadline - 10*ms
-	if got := b.step(TimerFired{}); !has(got, Deny{Request: held.Request}) {
+	if got := b.step(TimerFired{}); !has(got, Refuse{Request: held.Request}) {
 		t.Errorf("%v, want a refusal before dropDead", got)
 	}
 	b.now = held.Deadline
-	if got := b.step(attemptEnded(out, 0, 1, TimedOut)); !has(got, Deny{Request: out}) {
+	if got := b.step(attemptEnded(out, 0, 1, TimedOut)); !has(got, Refuse{Request: out}) {
 		t.Errorf("%v, want an answer to the time-out at the deadline", got)
 	}
 	if n := len(b.h.sortedNodes[0].inFlight); n != 1 {
@@ -898,7 +898,7 @@
 	if len(sends(got)) != 1 || b.h.volumes[2].tokens > 0 {
 		t.Fatalf("sent %v, the limit's store holds %v", sends(got), b.h.volumes[2].tokens)
 	}
-	if got := b.after(ms, attemptEnded(1, 0, 1, Failed)); !has(got, Deny{Request: 1}) {
+	if got := b.after(ms, attemptEnded(1, 0, 1, Failed)); !has(got, Refuse{Request: 1}) {
 		t.Errorf("%v after the third attempt, want it given up", got)
 	}
 	if got := sends(b.step(b.arrival(0, 0, tried(1)))); len(got) != 0 {
@@ -918,7 +918,7 @@
 	if b.h.Down(0) || !b.h.Down(7) {
 		t.Error("down before anything failed, or a cell that nobody holds is not")
 	}
-	if got := b.after(ms, attemptEnded(1, 0, 1, ConnectFailed)); !has(got, Deny{Request: 1}) {
+	if got := b.after(ms, attemptEnded(1, 0, 1, ConnectFailed)); !has(got, Refuse{Request: 1}) {
 		t.Errorf("%v after its one attempt", got)
 	}
 	if !b.h.Down(0) || b.h.Down(1) {
@@ -929,7 +929,7 @@
 		t.Error("down after the pause, when one request is to try it")
 	}
 	b.h.recordWait(b.h.sortedNodes[1], 600*1e3)
-	if got := b.step(b.arrival(0, 0, cell(1), once), b.arrival(0, 0, cell(1))); !has(got, Deny{Request: 2}) || has(got, Deny{Request: 3}) {
+	if got := b.step(b.arrival(0, 0, cell(1), once), b.arrival(0, 0, cell(1))); !has(got, Refuse{Request: 2}) || has(got, Refuse{Request: 3}) {
 		t.Errorf("%v where the aim is out of reach, want the one that may go elsewhere given up", got)
 	}
 }
@@ -949,7 +949,7 @@
 		}
 	}
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 3, Cell: 2, Zone: 1, State: Gone}}})
-	if got := b.step(b.arrival(0, 0, cell(-1), home)); !has(got, Deny{Request: 7}) {
+	if got := b.step(b.arrival(0, 0, cell(-1), home)); !has(got, Refuse{Request: 7}) {
 		t.Errorf("%v with no node at home, want it refused", got)
 	}
 }
@@ -1074,7 +1074,7 @@
 	got := b.step(b.arrival(99, 0), b.arrival(0, 99), b.arrival(0, 0, units(math.NaN()), attached(math.NaN())),
 		b.arrival(0, 1, units(-5), attached(0)), attemptEnded(77, 0, 1, OK), attemptEnded(2, 9, 1, OK), ClientGone{55},
 		StreamStarted{Request: 44}, ProbeEnded{Node: 9}, TimerFired{1234}, nil)
-	if !has(got, Deny{Request: 1}) {
+	if !has(got, Refuse{Request: 1}) {
 		t.Errorf("%v, want a refusal for the unknown class", got)
 	}
 	for _, v := range b.h.roundRobin {
@@ -1235,7 +1235,7 @@
 			c.set(b)
 			a := b.arrival(0, c.plan, units(c.units))
 			got := b.step(a)
-			deny := Deny{Request: a.Request}
+			deny := Refuse{Request: a.Request}
 			if told {
 				deny.RetryAfter = c.again
 			}
@@ -1275,7 +1275,7 @@
 	if len(got) == 0 {
 		t.Fatal("no answer in the step of the last outcome")
 	}
-	if d, ok := got[0].(Deny); !ok || d.Request != 1 || d.RetryAfter > s.MaxCoolDown {
+	if d, ok := got[0].(Refuse); !ok || d.Request != 1 || d.RetryAfter > s.MaxCoolDown {
 		t.Errorf("%v, want a refusal", got)
 	}
 }
@@ -1289,7 +1289,7 @@
 		b := newFixture(t, s, 1)
 		b.fillWindow()
 		a := b.arrival(0, 3)
-		if got := b.step(a); has(got, Deny{Request: a.Request}) {
+		if got := b.step(a); has(got, Refuse{Request: a.Request}) {
 			t.Fatal("refused though an answer may make room")
 		}
 		var got []Action
@@ -1298,7 +1298,7 @@
 		} else {
 			got = append(b.advance(390*ms), b.after(20*ms, TimerFired{})...)
 		}
-		if !has(got, Deny{Request: a.Request}) {
+		if !has(got, Refuse{Request: a.Request}) {
 			t.Errorf("node gone %v: %v, want a refusal", gone, got)
 		}
 	}
@@ -1449,7 +1449,7 @@
 	}
 	denied := func(actions []Action) (ids []RequestID) {
 		for _, a := range actions {
-			if d, ok := a.(Deny); ok {
+			if d, ok := a.(Refuse); ok {
 				if ids = append(ids, d.Request); d.RetryAfter < 100*ms {
 					t.Errorf("%d is told to come back in %d us", d.Request, d.RetryAfter)
 				}
