--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -142,7 +142,7 @@
 		a.reply.AbortAttempt(i, uint64(act.Request), uint16(act.Attempt))
 	case logic.Refuse:
 		a.reply.Deny(i, uint64(act.Request), uint32(act.RetryAfter))
-	case logic.Surrender:
+	case logic.Fail:
 		a.reply.Surrender(i, uint64(act.Request))
 	case logic.Wake:
 		a.reply.WakeMe(i, uint32(act.After), act.Token)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -445,7 +445,7 @@
 		c.send(now, x)
 	case logic.Refuse:
 		c.refuse(now, x.Request, ranges.Refused, x.RetryAfter)
-	case logic.Surrender:
+	case logic.Fail:
 		c.refuse(now, x.Request, ranges.Failed, 0)
 	case logic.Wake: // seen to by drive
 	case logic.Note:
--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -260,7 +260,7 @@
 			limited := c.host.Limited(e.volume, e.units)
 			c.answerRequest(now, e, Answer{Verdict: Refused, CoolDown: x.RetryAfter, Limited: limited})
 		}
-	case logic.Surrender:
+	case logic.Fail:
 		if e := c.entries[x.Request]; e != nil && e.request != nil {
 			c.answerRequest(now, e, Answer{Verdict: Failed})
 		}
--- a/logic/api.go
+++ b/logic/api.go
@@ -253,8 +253,8 @@
 	RetryAfter Micros // how long the client should wait before it retries; 0: no advice
 }
 
-// Surrender is a final answer: the request failed and may have had an effect.
-type Surrender struct{ Request RequestID }
+// Fail is a final answer: the request failed and may have had an effect.
+type Fail struct{ Request RequestID }
 
 // Wake asks for a TimerFired.
 type Wake struct {
@@ -274,12 +274,12 @@
 // Note is a message for the operators' log.
 type Note struct{ Text string }
 
-func (Send) action()      {}
-func (Abort) action()     {}
-func (Refuse) action()    {}
-func (Surrender) action() {}
-func (Wake) action()      {}
-func (Probe) action()     {}
-func (Watch) action()     {}
-func (Fetch) action()     {}
-func (Note) action()      {}
+func (Send) action()   {}
+func (Abort) action()  {}
+func (Refuse) action() {}
+func (Fail) action()   {}
+func (Wake) action()   {}
+func (Probe) action()  {}
+func (Watch) action()  {}
+func (Fetch) action()  {}
+func (Note) action()   {}
--- a/logic/limit_fleet_test.go
+++ b/logic/limit_fleet_test.go
@@ -148,7 +148,7 @@
 			f.send(h, x)
 		case Refuse:
 			h.requests[x.Request].finished = true
-		case Surrender:
+		case Fail:
 			h.requests[x.Request].finished = true
 		}
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -356,7 +356,7 @@
 		}
 		h.emit(deny)
 	} else {
-		h.emit(Surrender{r.id})
+		h.emit(Fail{r.id})
 	}
 	h.recordUnserved(r)
 	h.finish(r)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -766,8 +766,8 @@
 		want  Action // at once; nil: tried again
 	}{
 		{"retryable after an error", 0, Failed, nil},
-		{"fragile after an error", 3, Failed, Surrender{1}},
-		{"fragile after a reset", 3, Reset, Surrender{1}},
+		{"fragile after an error", 3, Failed, Fail{1}},
+		{"fragile after a reset", 3, Reset, Fail{1}},
 		{"fragile turned away", 3, Full, nil},
 		{"dedup after an error", 2, Failed, nil},
 	} {
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -115,7 +115,7 @@
 			c.checkSend(now, a)
 		case Refuse:
 			c.checkAnswer(now, a.Request, true)
-		case Surrender:
+		case Fail:
 			c.checkAnswer(now, a.Request, false)
 		}
 	}
@@ -481,13 +481,13 @@
 		{"1: sent after the end", []moment{{0, []Event{list, arrive(1, 0, 0)},
 			[]Action{Refuse{Request: 1}, Send{Request: 1, Node: 1}}}}},
 		{"2: fragile again", []moment{{0, []Event{list, arrive(1, 4, 0)}, []Action{Send{Request: 1, Node: 1}}},
-			{ms, []Event{ended(1, Failed)}, []Action{Send{Request: 1, Node: 1}, Surrender{1}}}}},
+			{ms, []Event{ended(1, Failed)}, []Action{Send{Request: 1, Node: 1}, Fail{1}}}}},
 		{"2: refused after it may have run", []moment{{0, []Event{list, arrive(1, 1, 0)},
 			[]Action{Send{Request: 1, Node: 1}}}, {ms, []Event{ended(1, Failed)}, []Action{Refuse{Request: 1}}}}},
 		{"2: outside the group", []moment{{0, []Event{list, arrive(1, 1, 0)}, []Action{Send{Request: 1, Node: 1}}},
-			{ms, []Event{ended(1, Failed)}, []Action{Send{Request: 1, Node: 2}, Surrender{1}}}}},
+			{ms, []Event{ended(1, Failed)}, []Action{Send{Request: 1, Node: 2}, Fail{1}}}}},
 		{"2: outside the window", []moment{{0, []Event{list, arrive(1, 1, 0)}, []Action{Send{Request: 1, Node: 1}}},
-			{ms, []Event{ended(1, Failed)}, nil}, {2 * sec, nil, []Action{Send{Request: 1, Node: 1}, Surrender{1}}}}},
+			{ms, []Event{ended(1, Failed)}, nil}, {2 * sec, nil, []Action{Send{Request: 1, Node: 1}, Fail{1}}}}},
 		{"3: drained", []moment{{0, []Event{list, arrive(1, 0, 0)}, nil},
 			{ms, []Event{NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Draining}}}}, nil},
 			{sec, nil, []Action{Send{Request: 1, Node: 1}, Refuse{Request: 1}}}}},
@@ -495,7 +495,7 @@
 		{"5: limit", []moment{{0, []Event{list, Arrival{Request: 1, Volume: 1, Attached: 2, Units: 6,
 			Deadline: sec}}, []Action{Send{Request: 1, Node: 1}, Refuse{Request: 1}}}}},
 		{"6: out of turn", []moment{{0, []Event{list, arrive(1, 1, 9), arrive(2, 1, 9)},
-			[]Action{Send{Request: 2, Node: 1}, Refuse{Request: 1}, Surrender{2}}}}},
+			[]Action{Send{Request: 2, Node: 1}, Refuse{Request: 1}, Fail{2}}}}},
 		{"7: budget", []moment{{0, []Event{list, arrive(1, 0, 0)}, []Action{Send{Request: 1, Node: 1},
 			Send{Request: 1, Node: 1}, Send{Request: 1, Node: 1}, Send{Request: 1, Node: 1},
 			Send{Request: 1, Node: 1}, Send{Request: 1, Node: 1}, Refuse{Request: 1}}}}},
