--- a/logic/api.go
+++ b/logic/api.go
@@ -212,7 +212,7 @@
 )
 
 // RoomChanged sets how many requests may be unanswered at this host; 0, the initial value, means no bound.
-type RoomChanged struct{ Room int }
+type RoomChanged struct{ MaxUnanswered int }
 
 // NodeList reports the nodes or changes of them.
 type NodeList struct {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -136,7 +136,7 @@
 				r.deadline, r.aimAt = min(r.deadline, e.By), min(r.aimAt, e.By)
 			}
 		case RoomChanged:
-			h.maxUnanswered = max(e.Room, 0)
+			h.maxUnanswered = max(e.MaxUnanswered, 0)
 		case NodeList:
 			h.handleNodeList(e)
 		case TimerFired:
