--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -219,7 +219,7 @@
 }
 
 // SetCapacity sets the number n of requests that may be held at once.
-func (c *Core) SetCapacity(n int) { c.host.AddEvent(logic.RoomChanged{MaxUnanswered: n}) }
+func (c *Core) SetCapacity(n int) { c.host.AddEvent(logic.CapacityChanged{MaxUnanswered: n}) }
 
 // UpdateNodes passes a list of targets, or changes to it, to logic.
 func (c *Core) UpdateNodes(kind logic.ListKind, list []logic.Node) {
--- a/logic/api.go
+++ b/logic/api.go
@@ -211,8 +211,8 @@
 	ListFailed                 // a fetch failed or the subscription ended; no entries
 )
 
-// RoomChanged sets how many requests may be unanswered at this host; 0, the initial value, means no bound.
-type RoomChanged struct{ MaxUnanswered int }
+// CapacityChanged sets how many requests may be unanswered at this host; 0, the initial value, means no bound.
+type CapacityChanged struct{ MaxUnanswered int }
 
 // NodeList reports the nodes or changes of them.
 type NodeList struct {
@@ -220,15 +220,15 @@
 	Nodes []Node
 }
 
-func (Arrival) event()       {}
-func (StreamStarted) event() {}
-func (AttemptEnded) event()  {}
-func (ClientGone) event()    {}
-func (Ending) event()        {}
-func (TimerFired) event()    {}
-func (ProbeEnded) event()    {}
-func (RoomChanged) event()   {}
-func (NodeList) event()      {}
+func (Arrival) event()         {}
+func (StreamStarted) event()   {}
+func (AttemptEnded) event()    {}
+func (ClientGone) event()      {}
+func (Ending) event()          {}
+func (TimerFired) event()      {}
+func (ProbeEnded) event()      {}
+func (CapacityChanged) event() {}
+func (NodeList) event()        {}
 
 // Action is something the caller must do. Actions happen at the time of the Step, in the given order.
 type Action interface{ action() }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -135,7 +135,7 @@
 			for _, r := range h.requests {
 				r.deadline, r.aimAt = min(r.deadline, e.By), min(r.aimAt, e.By)
 			}
-		case RoomChanged:
+		case CapacityChanged:
 			h.maxUnanswered = max(e.MaxUnanswered, 0)
 		case NodeList:
 			h.handleNodeList(e)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1434,7 +1434,7 @@
 		s := fourHostSettings()
 		s.CoolDowns, s.MaxCoolDown = true, 10*sec
 		b := newFixture(t, s, 1)
-		b.step(RoomChanged{MaxUnanswered: room})
+		b.step(CapacityChanged{MaxUnanswered: room})
 		b.h.unitTime = 10 * float64(ms)
 		b.fillWindow() // two are in flight
 		plans := map[RequestID]int{}
@@ -1509,7 +1509,7 @@
 	}
 
 	b, _ = full(0)
-	if got := denied(b.step(RoomChanged{MaxUnanswered: 9})); len(got) != 6 || b.h.unanswered != 9 {
+	if got := denied(b.step(CapacityChanged{MaxUnanswered: 9})); len(got) != 6 || b.h.unanswered != 9 {
 		t.Errorf("%d denied as the room becomes 9, %d owed an answer", len(got), b.h.unanswered)
 	}
 
