--- a/logic/api.go
+++ b/logic/api.go
@@ -188,7 +188,7 @@
 type ClientGone struct{ Request RequestID }
 
 // Ending announces the shutdown of the host: every request it holds must have its final answer by then.
-type Ending struct{ By Micros }
+type Ending struct{ Deadline Micros }
 
 // TimerFired reports that the timer of a Wake has fired.
 type TimerFired struct{ Token uint32 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -133,7 +133,7 @@
 		case Ending:
 			// The shutdown bounds every deadline: no process would be there to answer later.
 			for _, r := range h.requests {
-				r.deadline, r.aimAt = min(r.deadline, e.By), min(r.aimAt, e.By)
+				r.deadline, r.aimAt = min(r.deadline, e.Deadline), min(r.aimAt, e.Deadline)
 			}
 		case CapacityChanged:
 			h.maxUnanswered = max(e.MaxUnanswered, 0)
