--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -133,7 +133,7 @@
 			c.host.ShortenDeadline(&a.Attempt, deadline)
 		}
 	}
-	c.host.AddEvent(logic.Ending{Deadline: deadline})
+	c.host.AddEvent(logic.Shutdown{Deadline: deadline})
 }
 
 // endRequest returns a request to its front. Nothing more is sent for it: attempts in flight that are not sent
--- a/logic/api.go
+++ b/logic/api.go
@@ -187,8 +187,8 @@
 // ClientGone reports that the client has left; no answer is needed any more.
 type ClientGone struct{ Request RequestID }
 
-// Ending announces the shutdown of the host: every request it holds must have its final answer by then.
-type Ending struct{ Deadline Micros }
+// Shutdown announces the shutdown of the host: every request it holds must have its final answer by then.
+type Shutdown struct{ Deadline Micros }
 
 // TimerFired reports that the timer of a Wake has fired.
 type TimerFired struct{ Token uint32 }
@@ -224,7 +224,7 @@
 func (StreamStarted) event()   {}
 func (AttemptEnded) event()    {}
 func (ClientGone) event()      {}
-func (Ending) event()          {}
+func (Shutdown) event()        {}
 func (TimerFired) event()      {}
 func (ProbeEnded) event()      {}
 func (CapacityChanged) event() {}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -130,7 +130,7 @@
 				h.recordUnserved(r)
 				h.finish(r)
 			}
-		case Ending:
+		case Shutdown:
 			// The shutdown bounds every deadline: no process would be there to answer later.
 			for _, r := range h.requests {
 				r.deadline, r.aimAt = min(r.deadline, e.Deadline), min(r.aimAt, e.Deadline)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -801,7 +801,7 @@
 	if by >= held.Deadline {
 		t.Fatal("it would end before that anyway")
 	}
-	if got := b.after(ms, Ending{Deadline: by}); has(got, Refuse{Request: held.Request}) {
+	if got := b.after(ms, Shutdown{Deadline: by}); has(got, Refuse{Request: held.Request}) {
 		t.Fatal("given up too early")
 	}
 	b.now = by - answerMargin - ms
