--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -178,7 +178,7 @@
 // seen is what is known of the copies that a read may go to.
 func (c *Core) seen(p *piece) (seen [copies.MaxCopies]copies.CopyState) {
 	for i, x := range p.extent.Copies {
-		seen[i] = copies.CopyState{Home: c.home[x.Cell], Ready: c.reach(x.Cell), ExpectedTime: c.host.Outlook(x.Cell, p.units)}
+		seen[i] = copies.CopyState{Home: c.home[x.Cell], Ready: c.reach(x.Cell), ExpectedTime: c.host.EstimateResponseTime(x.Cell, p.units)}
 	}
 	return seen
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -957,23 +957,23 @@
 // TestOutlook: the estimate is never for a cell without a node, and grows with the wait and with a full window.
 func TestOutlook(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
-	if got := b.h.Outlook(7, 1); got != never {
+	if got := b.h.EstimateResponseTime(7, 1); got != never {
 		t.Errorf("%d for a cell that nobody holds", got)
 	}
 	b.h.unitTime = 1000
-	free := b.h.Outlook(0, 2)
+	free := b.h.EstimateResponseTime(0, 2)
 	if free != 2*ms {
 		t.Errorf("%d at a free node, want the request's own time", free)
 	}
 	b.fillWindow()
-	full := b.h.Outlook(0, 2)
+	full := b.h.EstimateResponseTime(0, 2)
 	b.h.recordWait(b.h.sortedNodes[0], 80*1e3)
-	waits := b.h.Outlook(0, 2)
-	if full <= free || waits < full+70*ms || b.h.Outlook(1, 2) >= full {
-		t.Errorf("free %d, full %d, with 80 ms of wait %d, the other %d", free, full, waits, b.h.Outlook(1, 2))
+	waits := b.h.EstimateResponseTime(0, 2)
+	if full <= free || waits < full+70*ms || b.h.EstimateResponseTime(1, 2) >= full {
+		t.Errorf("free %d, full %d, with 80 ms of wait %d, the other %d", free, full, waits, b.h.EstimateResponseTime(1, 2))
 	}
 	b.step(NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, Cell: 0, State: Draining}}})
-	if got := b.h.Outlook(0, 2); got != never {
+	if got := b.h.EstimateResponseTime(0, 2); got != never {
 		t.Errorf("%d at a node that drains", got)
 	}
 }
