--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -178,7 +178,7 @@
 }
 
 // Learned copies what the core has learned by now.
-func (c *Core) Learned(now logic.Micros) logic.Memory { return c.host.Memory(now) }
+func (c *Core) Learned(now logic.Micros) logic.Memory { return c.host.Snapshot(now) }
 
 // Memory is what bounds a volume's buffers; fronts draw on it for what they take.
 func (c *Core) Memory(volume int) *semaphore.Weighted { return c.vols[volume].memory }
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -75,8 +75,8 @@
 // Never is the age of something that has not happened.
 const Never = Micros(math.MaxInt64 / 4)
 
-// Memory returns a copy of what the host has learned by now. Requests that it holds are not included.
-func (h *Host) Memory(now Micros) Memory {
+// Snapshot returns a copy of what the host has learned by now. Requests that it holds are not included.
+func (h *Host) Snapshot(now Micros) Memory {
 	age := func(at Micros) Micros {
 		if at == 0 {
 			return Never
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -108,7 +108,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			l.step(t)
 		}
-		m := first.Memory(l.now)
+		m := first.Snapshot(l.now)
 		if err := m.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 				t.Fatal(err)
 			}
 		}
-		if again := twins[0].Memory(l.now); !reflect.DeepEqual(normalize(again), normalize(m)) {
+		if again := twins[0].Snapshot(l.now); !reflect.DeepEqual(normalize(again), normalize(m)) {
 			t.Fatalf("the memory exported after the restore differs:\n%+v\n%+v", normalize(again), normalize(m))
 		}
 		for _, h := range twins {
