--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -151,7 +151,7 @@
 
 // Remember gives the core what an earlier process has learned, before anything happens. Where that process did not
 // end by itself, changes wait until its attempts are surely over.
-func (c *Core) Remember(now logic.Micros, m logic.Memory) error { return c.host.Remember(now, m) }
+func (c *Core) Remember(now logic.Micros, m logic.Snapshot) error { return c.host.Remember(now, m) }
 
 // Rest holds changes back for the time of the order rule's pause, as attempts of a process that was killed may run.
 func (c *Core) Rest(now logic.Micros) {
@@ -178,7 +178,7 @@
 }
 
 // Learned copies what the core has learned by now.
-func (c *Core) Learned(now logic.Micros) logic.Memory { return c.host.Snapshot(now) }
+func (c *Core) Learned(now logic.Micros) logic.Snapshot { return c.host.Snapshot(now) }
 
 // Memory is what bounds a volume's buffers; fronts draw on it for what they take.
 func (c *Core) Memory(volume int) *semaphore.Weighted { return c.vols[volume].memory }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -138,7 +138,7 @@
 
 // Remember gives the engine what an earlier process has learned, before anything is brought. Rest is set where that
 // process may have left attempts at nodes.
-func (e *Engine) Remember(m *logic.Memory, rest bool) (err error) {
+func (e *Engine) Remember(m *logic.Snapshot, rest bool) (err error) {
 	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
 			e.core.Rest(now)
@@ -169,7 +169,7 @@
 }
 
 // Learned copies what has been learned, and the time of it.
-func (e *Engine) Learned() (m logic.Memory, now logic.Micros) {
+func (e *Engine) Learned() (m logic.Snapshot, now logic.Micros) {
 	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Learned(at), at })
 	return m, now
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -23,7 +23,7 @@
 	Written recall.Stamp
 	Clean   bool // its process ended by itself after this; nothing was sent since
 	Quiet   bool // and nothing that it had sent may still run at a node
-	Logic   logic.Memory
+	Logic   logic.Snapshot
 	Members []members.Memory
 	Crossed []crossing.Count   // bytes on the connections to nodes, by what they were for
 	Budget  *crossing.Snapshot // for what crosses zones; nil: not known
@@ -143,7 +143,7 @@
 		var old struct {
 			Gateway string
 			Written recall.Stamp
-			Logic   logic.Memory
+			Logic   logic.Snapshot
 		}
 		if err := decoder.Unmarshal(content, &old); err != nil {
 			return nil, err
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -121,7 +121,7 @@
 		old := struct {
 			Gateway string
 			Written recall.Stamp
-			Logic   logic.Memory
+			Logic   logic.Snapshot
 		}{"gw0", some(3).Written, some(3).Logic}
 		c, _ := encoder.Marshal(old)
 		os.MkdirAll("testdata", 0o755)
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -11,9 +11,9 @@
 	"slices"
 )
 
-// Memory is what a host has learned, as data to be stored. Times are ages in microseconds: how long ago something
+// Snapshot is what a host has learned, as data to be stored. Times are ages in microseconds: how long ago something
 // happened, or, if negative, how far in the future it lies. Never stands for something that has not happened.
-type Memory struct {
+type Snapshot struct {
 	Waits    float64 // smoothed wait at all nodes, in microseconds, as of WaitsAge ago
 	WaitsAge Micros
 	Vanish   float64 // smoothed share of lost attempts
@@ -76,7 +76,7 @@
 const Never = Micros(math.MaxInt64 / 4)
 
 // Snapshot returns a copy of what the host has learned by now. Requests that it holds are not included.
-func (h *Host) Snapshot(now Micros) Memory {
+func (h *Host) Snapshot(now Micros) Snapshot {
 	age := func(at Micros) Micros {
 		if at == 0 {
 			return Never
@@ -90,7 +90,7 @@
 		}
 		return out
 	}
-	m := Memory{Waits: h.meanWait, WaitsAge: age(h.meanWaitAt), Vanish: h.lossShare, Unit: h.unitTime,
+	m := Snapshot{Waits: h.meanWait, WaitsAge: age(h.meanWaitAt), Vanish: h.lossShare, Unit: h.unitTime,
 		Spare: h.virtualTime, Turns: h.rotation}
 	m.Random, _ = h.pcg.MarshalBinary()
 	for _, at := range h.recentArrivals {
@@ -125,7 +125,7 @@
 }
 
 // Check returns an error if m holds values that no host can have stored.
-func (m *Memory) Check() error {
+func (m *Snapshot) Check() error {
 	var problem error
 	finite := func(what string, at int, v ...float64) {
 		for _, x := range v {
@@ -165,7 +165,7 @@
 
 // Remember restores in a new host what an earlier process has learned. It must be called before the first Step, with
 // the time of that Step. Nodes are not used before a node list names them; volumes of unknown plans are skipped.
-func (h *Host) Remember(now Micros, m Memory) error {
+func (h *Host) Remember(now Micros, m Snapshot) error {
 	if h.started {
 		return fmt.Errorf("memory: the host has already started")
 	}
--- a/members/members.go
+++ b/members/members.go
@@ -178,7 +178,7 @@
 	return out
 }
 
-// Memory is the stored knowledge about a node beyond its settings. Times are ages, as in [logic.Memory].
+// Memory is the stored knowledge about a node beyond its settings. Times are ages, as in [logic.Snapshot].
 type Memory struct {
 	ID      logic.NodeID
 	Started logic.Micros
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -76,7 +76,7 @@
 func LimitsUsable(clean, marked bool, trust Trust) bool { return clean && marked && trust == Exact }
 
 // Fade ages a memory. An unknown age counts as very long for figures that fade, and as zero for debts.
-func Fade(m logic.Memory, age logic.Micros, trust Trust, limits bool) logic.Memory {
+func Fade(m logic.Snapshot, age logic.Micros, trust Trust, limits bool) logic.Snapshot {
 	fadeAge := age
 	if trust == Unknown {
 		age, fadeAge = 0, logic.Micros(math.MaxInt64/8)
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -163,7 +163,7 @@
 
 // normalize drops what a new host cannot have: nodes are gone until a list names them, and times before the clock began
 // are equivalent to never.
-func normalize(m logic.Memory) logic.Memory {
+func normalize(m logic.Snapshot) logic.Snapshot {
 	for i := range m.Nodes {
 		m.Nodes[i].Node.State = logic.Gone
 		if m.Nodes[i].SentLog == nil {
@@ -192,7 +192,7 @@
 
 // An old memory counts for less, and of a week-old one only the list of nodes counts; debts stay.
 func TestFade(t *testing.T) {
-	m := logic.Memory{Vanish: 0.8, Unit: 10_000, Spare: 5, Extra: []logic.Micros{ms}, WaitsAge: logic.Never,
+	m := logic.Snapshot{Vanish: 0.8, Unit: 10_000, Spare: 5, Extra: []logic.Micros{ms}, WaitsAge: logic.Never,
 		Nodes: []logic.NodeMemory{{Node: logic.Node{ID: 4, Cell: 2, Started: 2 * sec}, Window: [2]float64{0.5, 0.5}, Failing: 0.8, Missing: 2, Latency: 9000,
 			Wait: 1e6, WaitAge: 0, Down: 100 * ms, SentLog: []logic.Past{{Age: ms, Units: 3}}}},
 		Volumes: []logic.VolumeMemory{{ID: 1, Attached: 1, Balance: 4, Store: 1, Known: true, Share: 3}, {ID: 2, Attached: 1, Balance: -4, Known: true}}}
@@ -206,7 +206,7 @@
 	if short.Volumes[0].Balance != 0 || short.Volumes[1].Balance != -4 {
 		t.Errorf("balances %v, %v: credit must expire, a debt must stay", short.Volumes[0].Balance, short.Volumes[1].Balance)
 	}
-	for name, old := range map[string]logic.Memory{"a week": Fade(m, 7*24*hour, ByWallClock, false), "no telling": Fade(m, 0, Unknown, false)} {
+	for name, old := range map[string]logic.Snapshot{"a week": Fade(m, 7*24*hour, ByWallClock, false), "no telling": Fade(m, 0, Unknown, false)} {
 		n := old.Nodes[0]
 		if n.Node.ID != 4 || n.Node.Cell != 2 || n.Window != [2]float64{} || n.Latency != 0 || n.Failing > 1e-9 || n.Missing != 0 || n.Down != 0 || n.Wait != 0 {
 			t.Errorf("%s: node %+v", name, n)
