--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -151,7 +151,7 @@
 
 // Remember gives the core what an earlier process has learned, before anything happens. Where that process did not
 // end by itself, changes wait until its attempts are surely over.
-func (c *Core) Remember(now logic.Micros, m logic.Snapshot) error { return c.host.Remember(now, m) }
+func (c *Core) Remember(now logic.Micros, m logic.Snapshot) error { return c.host.Restore(now, m) }
 
 // Rest holds changes back for the time of the order rule's pause, as attempts of a process that was killed may run.
 func (c *Core) Rest(now logic.Micros) {
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -66,7 +66,7 @@
 	if b.h, err = New(s, 2); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.h.Remember(b.now, first.h.Snapshot(first.now)); err != nil {
+	if err := b.h.Restore(b.now, first.h.Snapshot(first.now)); err != nil {
 		t.Fatal(err)
 	}
 	list := NodeList{Kind: ListFull}
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -163,9 +163,9 @@
 	return problem
 }
 
-// Remember restores in a new host what an earlier process has learned. It must be called before the first Step, with
+// Restore restores in a new host what an earlier process has learned. It must be called before the first Step, with
 // the time of that Step. Nodes are not used before a node list names them; volumes of unknown plans are skipped.
-func (h *Host) Remember(now Micros, m Snapshot) error {
+func (h *Host) Restore(now Micros, m Snapshot) error {
 	if h.started {
 		return fmt.Errorf("memory: the host has already started")
 	}
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -115,7 +115,7 @@
 		var twins [2]*logic.Host
 		for i := range twins {
 			twins[i], _ = logic.New(settings, uint64(i)) // the seed is part of the memory
-			if err := twins[i].Remember(l.now, m); err != nil {
+			if err := twins[i].Restore(l.now, m); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -215,7 +215,7 @@
 			t.Errorf("%s: %+v", name, old)
 		}
 		host, _ := logic.New(settings, 1)
-		if err := host.Remember(3600*sec, old); err != nil {
+		if err := host.Restore(3600*sec, old); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
