--- a/internal/report/place_test.go
+++ b/internal/report/place_test.go
@@ -45,10 +45,10 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	node := func(id int, started logic.Micros, failing float64) logic.NodeMemory {
-		return logic.NodeMemory{Node: logic.Node{ID: logic.NodeID(id), Cell: id - 1, Zone: (id - 1) % 2, State: logic.Ready, Started: started}, Failing: failing}
+	node := func(id int, started logic.Micros, failing float64) logic.NodeSnapshot {
+		return logic.NodeSnapshot{Node: logic.Node{ID: logic.NodeID(id), Cell: id - 1, Zone: (id - 1) % 2, State: logic.Ready, Started: started}, Failing: failing}
 	}
-	if err := s.Save(&state.State{Gateway: "gw0", Logic: logic.Snapshot{Nodes: []logic.NodeMemory{node(4, 2_000_000, 0), node(1, 3_600_000_000, 0.5)}}}); err != nil {
+	if err := s.Save(&state.State{Gateway: "gw0", Logic: logic.Snapshot{Nodes: []logic.NodeSnapshot{node(4, 2_000_000, 0), node(1, 3_600_000_000, 0.5)}}}); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -52,7 +52,7 @@
 	s := &State{Gateway: "gw0", Written: recall.Stamp{Boot: "b", Since: logic.Micros(i), Wall: 5}}
 	s.Logic.Turns = i
 	for n := range 1 + i%5 {
-		s.Logic.Nodes = append(s.Logic.Nodes, logic.NodeMemory{Node: logic.Node{ID: logic.NodeID(n + 1), Started: logic.Never}, Latency: float64(i),
+		s.Logic.Nodes = append(s.Logic.Nodes, logic.NodeSnapshot{Node: logic.Node{ID: logic.NodeID(n + 1), Started: logic.Never}, Latency: float64(i),
 			SentLog: []logic.Past{{Age: logic.Micros(i), Units: 1}}})
 		s.Members = append(s.Members, members.Memory{ID: logic.NodeID(n + 1), Started: logic.Never, Refused: logic.Never})
 	}
@@ -525,7 +525,7 @@
 func BenchmarkSave(b *testing.B) {
 	big := some(0)
 	for i := range 46 {
-		n := logic.NodeMemory{Node: logic.Node{ID: logic.NodeID(i + 2), Started: logic.Never}, Latency: 1000}
+		n := logic.NodeSnapshot{Node: logic.Node{ID: logic.NodeID(i + 2), Started: logic.Never}, Latency: 1000}
 		for j := range 20 {
 			n.SentLog = append(n.SentLog, logic.Past{Age: logic.Micros(j * 1000), Units: 1})
 		}
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -23,12 +23,12 @@
 	Random   []byte   // state of the random number generator; empty: use a new one
 	Taken    []Micros // arrivals in the retry budget's window
 	Extra    []Micros // retries in the retry budget's window
-	Nodes    []NodeMemory
+	Nodes    []NodeSnapshot
 	Volumes  []VolumeMemory
 }
 
-// NodeMemory is what a host has learned about a node.
-type NodeMemory struct {
+// NodeSnapshot is what a host has learned about a node.
+type NodeSnapshot struct {
 	Node    Node // Started is an age here; Never: long ago
 	Window  [2]float64
 	Halved  [2]Micros
@@ -100,7 +100,7 @@
 		m.Extra = append(m.Extra, now-at)
 	}
 	for _, n := range h.sortedNodes {
-		x := NodeMemory{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.reducedAt[0]), age(n.reducedAt[1])},
+		x := NodeSnapshot{Node: n.Node, Window: n.window, Halved: [2]Micros{age(n.reducedAt[0]), age(n.reducedAt[1])},
 			Missing: n.missingAnswers,
 			Rest:    age(n.backoffUntil), Latency: n.latency, Last: age(n.lastActive), Sent: age(n.sentAt),
 			Wait: n.wait, WaitAge: age(n.waitAt),
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -97,7 +97,7 @@
 		m.Spare = 0
 	}
 	nodes := m.Nodes
-	m.Nodes = make([]logic.NodeMemory, len(nodes))
+	m.Nodes = make([]logic.NodeSnapshot, len(nodes))
 	for i, n := range nodes {
 		// A node's start and what it was sent while cold continue to count, whichever gateway observes it.
 		for _, at := range []*logic.Micros{&n.Node.Started, &n.Halved[0], &n.Halved[1], &n.Rest, &n.Last, &n.Sent, &n.WaitAge, &n.DownAge, &n.Revived} {
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -193,7 +193,7 @@
 // An old memory counts for less, and of a week-old one only the list of nodes counts; debts stay.
 func TestFade(t *testing.T) {
 	m := logic.Snapshot{Vanish: 0.8, Unit: 10_000, Spare: 5, Extra: []logic.Micros{ms}, WaitsAge: logic.Never,
-		Nodes: []logic.NodeMemory{{Node: logic.Node{ID: 4, Cell: 2, Started: 2 * sec}, Window: [2]float64{0.5, 0.5}, Failing: 0.8, Missing: 2, Latency: 9000,
+		Nodes: []logic.NodeSnapshot{{Node: logic.Node{ID: 4, Cell: 2, Started: 2 * sec}, Window: [2]float64{0.5, 0.5}, Failing: 0.8, Missing: 2, Latency: 9000,
 			Wait: 1e6, WaitAge: 0, Down: 100 * ms, SentLog: []logic.Past{{Age: ms, Units: 3}}}},
 		Volumes: []logic.VolumeMemory{{ID: 1, Attached: 1, Balance: 4, Store: 1, Known: true, Share: 3}, {ID: 2, Attached: 1, Balance: -4, Known: true}}}
 	short := Fade(m, 10*sec, Exact, true)
