--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -532,7 +532,7 @@
 		big.Logic.Nodes = append(big.Logic.Nodes, n)
 	}
 	for i := range 400 {
-		big.Logic.Volumes = append(big.Logic.Volumes, logic.VolumeMemory{ID: logic.VolumeID(i), Attached: 3, Store: 5, Known: true})
+		big.Logic.Volumes = append(big.Logic.Volumes, logic.VolumeSnapshot{ID: logic.VolumeID(i), Attached: 3, Store: 5, Known: true})
 	}
 	enc, _ := Encode(big)
 	dir := b.TempDir()
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -24,7 +24,7 @@
 	Taken    []Micros // arrivals in the retry budget's window
 	Extra    []Micros // retries in the retry budget's window
 	Nodes    []NodeSnapshot
-	Volumes  []VolumeMemory
+	Volumes  []VolumeSnapshot
 }
 
 // NodeSnapshot is what a host has learned about a node.
@@ -47,8 +47,8 @@
 	Served  []Past
 }
 
-// VolumeMemory is what a host has learned about a volume.
-type VolumeMemory struct {
+// VolumeSnapshot is what a host has learned about a volume.
+type VolumeSnapshot struct {
 	ID       VolumeID
 	Plan     int
 	Attached float64
@@ -115,7 +115,7 @@
 			h.updateTokens(v)
 		}
 		plan := slices.IndexFunc(h.settings.Plans, func(p Plan) bool { return p == *v.plan })
-		m.Volumes = append(m.Volumes, VolumeMemory{ID: v.id, Plan: plan, Attached: v.attached, Balance: v.balance,
+		m.Volumes = append(m.Volumes, VolumeSnapshot{ID: v.id, Plan: plan, Attached: v.attached, Balance: v.balance,
 			Credited: age(v.creditedAt), Share: v.virtualTime, Last: age(v.lastUsed), Store: v.tokens,
 			Stored: age(v.tokensAt), Known: true,
 			OnTheWay: v.pending + v.abandoned, Own: toPast(v.ownRate), Others: toPast(v.otherRate),
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -120,7 +120,7 @@
 		m.Nodes[i] = n
 	}
 	volumes := m.Volumes
-	m.Volumes = make([]logic.VolumeMemory, len(volumes))
+	m.Volumes = make([]logic.VolumeSnapshot, len(volumes))
 	for i, v := range volumes {
 		for _, at := range []*logic.Micros{&v.Credited, &v.Last, &v.Stored, &v.Own.Age, &v.Others.Age, &v.TotalAge} {
 			shift(at)
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -195,7 +195,7 @@
 	m := logic.Snapshot{Vanish: 0.8, Unit: 10_000, Spare: 5, Extra: []logic.Micros{ms}, WaitsAge: logic.Never,
 		Nodes: []logic.NodeSnapshot{{Node: logic.Node{ID: 4, Cell: 2, Started: 2 * sec}, Window: [2]float64{0.5, 0.5}, Failing: 0.8, Missing: 2, Latency: 9000,
 			Wait: 1e6, WaitAge: 0, Down: 100 * ms, SentLog: []logic.Past{{Age: ms, Units: 3}}}},
-		Volumes: []logic.VolumeMemory{{ID: 1, Attached: 1, Balance: 4, Store: 1, Known: true, Share: 3}, {ID: 2, Attached: 1, Balance: -4, Known: true}}}
+		Volumes: []logic.VolumeSnapshot{{ID: 1, Attached: 1, Balance: 4, Store: 1, Known: true, Share: 3}, {ID: 2, Attached: 1, Balance: -4, Known: true}}}
 	short := Fade(m, 10*sec, Exact, true)
 	if n := short.Nodes[0]; n.Failing != 0.4 || n.Latency != 9000 || n.Node.Started != 12*sec || n.Window[0] != 0.5 || n.SentLog[0].Age != 10*sec+ms {
 		t.Errorf("after 10 s: %+v", n)
