--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -53,7 +53,7 @@
 	s.Logic.Turns = i
 	for n := range 1 + i%5 {
 		s.Logic.Nodes = append(s.Logic.Nodes, logic.NodeSnapshot{Node: logic.Node{ID: logic.NodeID(n + 1), Started: logic.Never}, Latency: float64(i),
-			SentLog: []logic.Past{{Age: logic.Micros(i), Units: 1}}})
+			SentLog: []logic.AgedUnits{{Age: logic.Micros(i), Units: 1}}})
 		s.Members = append(s.Members, members.Memory{ID: logic.NodeID(n + 1), Started: logic.Never, Refused: logic.Never})
 	}
 	return s
@@ -527,7 +527,7 @@
 	for i := range 46 {
 		n := logic.NodeSnapshot{Node: logic.Node{ID: logic.NodeID(i + 2), Started: logic.Never}, Latency: 1000}
 		for j := range 20 {
-			n.SentLog = append(n.SentLog, logic.Past{Age: logic.Micros(j * 1000), Units: 1})
+			n.SentLog = append(n.SentLog, logic.AgedUnits{Age: logic.Micros(j * 1000), Units: 1})
 		}
 		big.Logic.Nodes = append(big.Logic.Nodes, n)
 	}
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -43,8 +43,8 @@
 	DownAge Micros
 	Revived Micros
 	Failing float64
-	SentLog []Past // units sent within the overload time
-	Served  []Past
+	SentLog []AgedUnits // units sent within the overload time
+	Served  []AgedUnits
 }
 
 // VolumeSnapshot is what a host has learned about a volume.
@@ -58,16 +58,16 @@
 	Last     Micros
 	Store    float64 // what the host's share of the limit holds
 	Stored   Micros
-	Known    bool    // Store is up to date; otherwise what was drawn since is not known
-	OnTheWay float64 // units charged that may still reach a node
-	Own      Past    // decaying sums, in units
-	Others   Past
+	Known    bool      // Store is up to date; otherwise what was drawn since is not known
+	OnTheWay float64   // units charged that may still reach a node
+	Own      AgedUnits // decaying sums, in units
+	Others   AgedUnits
 	Total    float64
 	TotalAge Micros
 }
 
-// Past is an amount of units and its age.
-type Past struct {
+// AgedUnits is an amount of units and its age.
+type AgedUnits struct {
 	Age   Micros
 	Units float64
 }
@@ -83,10 +83,10 @@
 		}
 		return now - at
 	}
-	toPast := func(r decayingSum) Past { return Past{age(r.at), r.sum} }
-	toPasts := func(l unitLog) (out []Past) {
+	toPast := func(r decayingSum) AgedUnits { return AgedUnits{age(r.at), r.sum} }
+	toPasts := func(l unitLog) (out []AgedUnits) {
 		for _, e := range l {
-			out = append(out, Past{now - e.at, e.units})
+			out = append(out, AgedUnits{now - e.at, e.units})
 		}
 		return out
 	}
@@ -178,13 +178,13 @@
 		}
 		return now - age
 	}
-	toSum := func(p Past) decayingSum {
+	toSum := func(p AgedUnits) decayingSum {
 		if p.Age >= Never/2 {
 			return decayingSum{}
 		}
 		return decayingSum{p.Units, now - p.Age}
 	}
-	toLog := func(l []Past) (out unitLog) {
+	toLog := func(l []AgedUnits) (out unitLog) {
 		for _, p := range l {
 			out.add(now-p.Age, p.Units)
 		}
--- a/recall/recall.go
+++ b/recall/recall.go
@@ -144,9 +144,9 @@
 	return out
 }
 
-func addPastAge(l []logic.Past, age logic.Micros) (out []logic.Past) {
+func addPastAge(l []logic.AgedUnits, age logic.Micros) (out []logic.AgedUnits) {
 	for _, p := range l {
-		out = append(out, logic.Past{Age: p.Age + age, Units: p.Units})
+		out = append(out, logic.AgedUnits{Age: p.Age + age, Units: p.Units})
 	}
 	return out
 }
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -167,10 +167,10 @@
 	for i := range m.Nodes {
 		m.Nodes[i].Node.State = logic.Gone
 		if m.Nodes[i].SentLog == nil {
-			m.Nodes[i].SentLog = []logic.Past{}
+			m.Nodes[i].SentLog = []logic.AgedUnits{}
 		}
 		if m.Nodes[i].Served == nil {
-			m.Nodes[i].Served = []logic.Past{}
+			m.Nodes[i].Served = []logic.AgedUnits{}
 		}
 		for _, at := range []*logic.Micros{&m.Nodes[i].Rest} {
 			if *at >= logic.Never/2 {
@@ -181,10 +181,10 @@
 	for i := range m.Volumes {
 		v := &m.Volumes[i]
 		if v.Own.Units == 0 {
-			v.Own = logic.Past{}
+			v.Own = logic.AgedUnits{}
 		}
 		if v.Others.Units == 0 {
-			v.Others = logic.Past{}
+			v.Others = logic.AgedUnits{}
 		}
 	}
 	return m
@@ -194,7 +194,7 @@
 func TestFade(t *testing.T) {
 	m := logic.Snapshot{Vanish: 0.8, Unit: 10_000, Spare: 5, Extra: []logic.Micros{ms}, WaitsAge: logic.Never,
 		Nodes: []logic.NodeSnapshot{{Node: logic.Node{ID: 4, Cell: 2, Started: 2 * sec}, Window: [2]float64{0.5, 0.5}, Failing: 0.8, Missing: 2, Latency: 9000,
-			Wait: 1e6, WaitAge: 0, Down: 100 * ms, SentLog: []logic.Past{{Age: ms, Units: 3}}}},
+			Wait: 1e6, WaitAge: 0, Down: 100 * ms, SentLog: []logic.AgedUnits{{Age: ms, Units: 3}}}},
 		Volumes: []logic.VolumeSnapshot{{ID: 1, Attached: 1, Balance: 4, Store: 1, Known: true, Share: 3}, {ID: 2, Attached: 1, Balance: -4, Known: true}}}
 	short := Fade(m, 10*sec, Exact, true)
 	if n := short.Nodes[0]; n.Failing != 0.4 || n.Latency != 9000 || n.Node.Started != 12*sec || n.Window[0] != 0.5 || n.SentLog[0].Age != 10*sec+ms {
@@ -222,7 +222,7 @@
 	if none := Fade(m, 0, Unknown, false); none.Nodes[0].Node.Started != 2*sec {
 		t.Errorf("a start of unknown age counts as %d ago, want the reported age", none.Nodes[0].Node.Started)
 	}
-	if !reflect.DeepEqual(m.Nodes[0].SentLog, []logic.Past{{Age: ms, Units: 3}}) || !m.Volumes[0].Known {
+	if !reflect.DeepEqual(m.Nodes[0].SentLog, []logic.AgedUnits{{Age: ms, Units: 3}}) || !m.Volumes[0].Known {
 		t.Error("the memory passed in was modified")
 	}
 }
