--- a/internal/platform/core/core.go
+++ b/internal/platform/core/core.go
@@ -204,7 +204,7 @@
 
 // limitShareText returns what is left of this host's share of a volume's limit, as traces show it.
 func (c *Core) limitShareText(volume logic.VolumeID) string {
-	s, limited := c.host.Slice(volume)
+	s, limited := c.host.LimitShare(volume)
 	if !limited {
 		return "-"
 	}
--- a/logic/inspect.go
+++ b/logic/inspect.go
@@ -9,8 +9,8 @@
 	Pending float64 // charged, and not known to have reached a node
 }
 
-// Slice returns this host's share of a volume's limit; ok is false if the volume is not known or has no limit.
-func (h *Host) Slice(id VolumeID) (s Slice, ok bool) {
+// LimitShare returns this host's share of a volume's limit; ok is false if the volume is not known or has no limit.
+func (h *Host) LimitShare(id VolumeID) (s Slice, ok bool) {
 	v := h.volumes[id]
 	if v == nil || v.plan.Limit <= 0 {
 		return Slice{}, false
