--- a/logic/logic.go
+++ b/logic/logic.go
@@ -600,9 +600,9 @@
 	return at
 }
 
-// EstimateResponseTime estimates the response time of a cell for a request that arrives now, for callers that may choose
-// between cells with the same data. A full window adds the response time of one request. It returns Never if
-// the cell has no node that can serve the request.
+// EstimateResponseTime estimates the response time of a cell for a request that arrives now, for callers that
+// may choose between cells with the same data. A full window adds the response time of one request. It
+// returns Never if the cell has no node that can serve the request.
 func (h *Host) EstimateResponseTime(cell int, units float64) Micros {
 	at := never
 	for _, n := range h.nodesByCell[cell] {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -461,7 +461,7 @@
 		b.step(b.arrival(0, 4))
 		got := b.advance(300 * ms)
 		if (len(sends(got)) == 1) != c.copied || (n.window[0] < 1) == c.copied && b.h.minWindow() < 1 {
-			t.Errorf("%s: copies %v, window %v, vanish %v, %d out", c.name, sends(got), n.window, b.h.lossShare, len(n.inFlight))
+			t.Errorf("%s: retries %v, window %v, loss share %v, %d in flight", c.name, sends(got), n.window, b.h.lossShare, len(n.inFlight))
 		}
 	}
 }
@@ -509,7 +509,7 @@
 		t.Errorf("sent late requests %v at once", sends(got))
 	}
 	if got := sends(b.after(4*lateBackoff, TimerFired{})); len(got) != 1 {
-		t.Errorf("sent %v after the node's rest, want the late one", got)
+		t.Errorf("sent %v after the node's backoff, want the late one", got)
 	}
 }
 
@@ -545,11 +545,11 @@
 	b.now += 100 * sec
 	for i := range 2 {
 		if ask(0, 6) != 1 {
-			t.Errorf("send %d from a full slice was held", i)
+			t.Errorf("send %d from a full share was held", i)
 		}
 	}
 	if ask(0, 1) != 0 {
-		t.Error("passed the slice")
+		t.Error("exceeded the share")
 	}
 }
 
@@ -622,7 +622,7 @@
 		b.step(a)
 		b.step(ClientGone{a.Request}, attemptEnded(a.Request, 0, 1, how))
 		if v := b.h.volumes[a.Volume]; v.pending != 0 || b.h.availableTokens(v) != v.maxTokens()-drawn {
-			t.Errorf("outcome %d: %v pending, %v in the slice", how, v.pending, b.h.availableTokens(v))
+			t.Errorf("outcome %d: %v pending, %v in the share", how, v.pending, b.h.availableTokens(v))
 		}
 	}
 }
@@ -1451,7 +1451,7 @@
 		for _, a := range actions {
 			if d, ok := a.(Refuse); ok {
 				if ids = append(ids, d.Request); d.RetryAfter < 100*ms {
-					t.Errorf("%d is told to come back in %d us", d.Request, d.RetryAfter)
+					t.Errorf("%d is advised to retry in %d us", d.Request, d.RetryAfter)
 				}
 			}
 		}
@@ -1464,18 +1464,18 @@
 		plans[a.Request] = 1
 		got := denied(b.step(a))
 		if b.h.unanswered > room || b.h.unanswered < room && len(got) > 0 {
-			t.Fatalf("%d owed an answer, %v denied", b.h.unanswered, got)
+			t.Fatalf("%d unanswered, %v refused", b.h.unanswered, got)
 		}
 		for _, id := range got {
 			for _, r := range b.h.requests {
 				if p, asked := plans[r.id]; !r.finished && asked && p == plans[id] && r.id > id {
-					t.Errorf("%d was denied before %d", id, r.id)
+					t.Errorf("%d was refused before %d", id, r.id)
 				}
 			}
 		}
 	}
 	if b.h.requests[1].finished {
-		t.Error("one that is out gave way")
+		t.Error("a request in flight was shed")
 	}
 	left := [2]int{}
 	for id, r := range b.h.requests {
@@ -1510,13 +1510,13 @@
 
 	b, _ = full(0)
 	if got := denied(b.step(CapacityChanged{MaxUnanswered: 9})); len(got) != 6 || b.h.unanswered != 9 {
-		t.Errorf("%d denied as the room becomes 9, %d owed an answer", len(got), b.h.unanswered)
+		t.Errorf("%d refused as the bound becomes 9, %d unanswered", len(got), b.h.unanswered)
 	}
 
 	b, _ = full(0)
 	for range 100 {
 		if got := denied(b.step(b.arrival(0, 0))); len(got) > 0 {
-			t.Fatalf("%v denied where no bound is told", got)
+			t.Fatalf("%v refused without a bound", got)
 		}
 	}
 }
--- a/logic/memory.go
+++ b/logic/memory.go
@@ -232,7 +232,7 @@
 			virtualTime: x.Share,
 			lastUsed:    toTime(x.Last), ownRate: toSum(x.Own), otherRate: toSum(x.Others), totalRate: x.Total,
 			totalRateAt: toTime(x.TotalAge)}
-		// If what was drawn since is not known, the share starts at its lowest level, as without a memory.
+		// If what was drawn since is not known, the share starts at its lowest level, as without a snapshot.
 		if v.tokens, v.tokensAt = -plan.LimitSlack/x.Attached, now; x.Known {
 			v.tokens, v.tokensAt = min(x.Store, plan.LimitBurst/x.Attached), toTime(x.Stored)
 		}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -153,7 +153,7 @@
 	class, rules := c.set.Classes[r.Class], c.set.Rules
 	for _, t := range r.attempts {
 		if !t.done && !c.set.SecondCopies {
-			c.fail("rule 2: two attempts of %d out", r.Request)
+			c.fail("rule 2: two attempts of %d in flight", r.Request)
 		}
 		if !t.mayHaveRun() {
 			continue
@@ -224,7 +224,7 @@
 		}
 		for _, t := range o.attempts {
 			if !t.done {
-				c.fail("rule 6: %d sent while %d has an attempt out", r.Request, id)
+				c.fail("rule 6: %d sent while %d has an attempt in flight", r.Request, id)
 			} else if (t.outcome == TimedOut || t.outcome == Reset || t.outcome == Cancelled) &&
 				now < t.endedAt+c.set.Rules.OrderPause {
 				c.fail("rule 6: %d sent in the pause after %d", r.Request, id)
@@ -247,7 +247,7 @@
 		return n
 	}
 	if x, most := count(c.retryTimes), rules.BudgetFree+rules.BudgetPerTake*count(c.arrivalTimes); x > most {
-		c.fail("rule 7: %v further attempts, %v allowed", x, most)
+		c.fail("rule 7: %v retries, %v allowed", x, most)
 	}
 }
 
@@ -260,7 +260,7 @@
 		at = d.at
 	}
 	if store < -p.LimitSlack/n-1e-6 {
-		c.fail("rule 5: volume %d passed its slice by %v", r.Volume, -p.LimitSlack/n-store)
+		c.fail("rule 5: volume %d exceeded its share by %v", r.Volume, -p.LimitSlack/n-store)
 	}
 }
 
