--- a/logic/limit_fleet_test.go
+++ b/logic/limit_fleet_test.go
@@ -103,14 +103,14 @@
 			if h == nil {
 				continue
 			}
-			turn, ask := 0.0008, 0.003 // quiet for 6 s on average, so that the bucket fills
+			toggleProbability, requestProbability := 0.0008, 0.003 // quiet for 6 s on average, so that the bucket fills
 			if h.surge {
-				turn, ask = 0.005, 0.5
+				toggleProbability, requestProbability = 0.005, 0.5
 			}
-			if f.rng.Float64() < turn {
+			if f.rng.Float64() < toggleProbability {
 				h.surge = !h.surge
 			}
-			if f.rng.Float64() < ask {
+			if f.rng.Float64() < requestProbability {
 				f.sendRequest(h)
 			}
 			f.stepHost(h, TimerFired{h.token})
@@ -159,9 +159,9 @@
 	r := h.requests[s.Request]
 	number, left := r.attempts, r.deadline-f.now
 	r.attempts++
-	way := f.randomUpTo(2 * ms)
+	transit := f.randomUpTo(2 * ms)
 	if f.rng.Float64() < 0.2 {
-		way = f.randomUpTo(1500 * ms)
+		transit = f.randomUpTo(1500 * ms)
 	}
 	work := 5*ms + f.randomUpTo(100*ms)
 	arrives := func(wait Micros) { f.schedule(wait, nil, func() { f.arrive(s.Request, r.units) }) }
@@ -179,25 +179,25 @@
 	}
 	switch x := f.rng.Float64(); {
 	case x < 0.1:
-		ends(way, ConnectFailed)
+		ends(transit, ConnectFailed)
 	case x < 0.15:
-		ends(way, NotSent)
+		ends(transit, NotSent)
 	case x < 0.2: // reset on its way
-		ends(way, Reset)
+		ends(transit, Reset)
 	case x < 0.22: // answered before its last byte was sent
-		ends(way, []Outcome{Full, Failed}[f.rng.IntN(2)])
+		ends(transit, []Outcome{Full, Failed}[f.rng.IntN(2)])
 	case x < 0.27: // reset, but it reaches the node nevertheless
-		ends(way/2, Reset)
-		arrives(way)
+		ends(transit/2, Reset)
+		arrives(transit)
 	case x < 0.37:
-		arrives(way)
-		ends(way+work, []Outcome{Full, Failed, Reset}[f.rng.IntN(3)])
+		arrives(transit)
+		ends(transit+work, []Outcome{Full, Failed, Reset}[f.rng.IntN(3)])
 	case x < 0.42: // no answer arrives
-		arrives(way + f.randomUpTo(left+maxArrivalDelay-1500*ms))
+		arrives(transit + f.randomUpTo(left+maxArrivalDelay-1500*ms))
 		ends(left, TimedOut)
 	default:
-		arrives(way)
-		ends(way+work, OK)
+		arrives(transit)
+		ends(transit+work, OK)
 	}
 }
 
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -86,15 +86,15 @@
 	b := newFixture(t, s, 20)
 	plan := s.Plans[2]
 	bound := int(plan.LimitBurst + plan.LimitSlack + plan.Limit*seconds(maxArrivalDelay))
-	most := 0
+	maxKept := 0
 	for i := range 600 {
 		for _, id := range sends(b.after(100*ms, b.arrival(0, 2, units(1), cell(i%20), attached(1), key(0)))) {
 			b.step(ClientGone{id}, attemptEnded(id, 0, NodeID(i%20+1), TimedOut))
 		}
-		most = max(most, len(b.h.abandoned))
+		maxKept = max(maxKept, len(b.h.abandoned))
 	}
-	if most > bound || most < 5 {
-		t.Errorf("%d given-up requests kept, at most %d of one unit can have left", most, bound)
+	if maxKept > bound || maxKept < 5 {
+		t.Errorf("%d given-up requests kept, at most %d of one unit can have left", maxKept, bound)
 	}
 	b.advance(maxArrivalDelay + sec)
 	if v := b.h.volumes[2]; len(b.h.abandoned) > 0 || v.abandoned != 0 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -87,10 +87,10 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	short := slices.MinFunc(s.Classes, func(a, b Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
+	minAim := slices.MinFunc(s.Classes, func(a, b Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
 	pcg := rand.NewPCG(seed, 0x9e3779b97f4a7c15)
 	return &Host{
-		settings: s, minAim: short, pcg: pcg, rng: rand.New(pcg),
+		settings: s, minAim: minAim, pcg: pcg, rng: rand.New(pcg),
 		requests: map[RequestID]*request{}, volumes: map[VolumeID]*volume{},
 		nodes: map[NodeID]*node{}, keyQueues: map[uint64]*keyQueue{}, nodesByCell: map[int][]*node{},
 		unserved: map[signature]Micros{}, earliestNewObject: map[bool]Micros{},
@@ -205,19 +205,19 @@
 	}
 	// A request found after a stall arrived during it: its aim counts from the arrival time that its deadline
 	// implies, if that lies after the previous Step.
-	came := r.deadline - r.class.Deadline
-	if came < h.previousStep || came > h.now {
-		came = h.now
+	askedAt := r.deadline - r.class.Deadline
+	if askedAt < h.previousStep || askedAt > h.now {
+		askedAt = h.now
 	}
 	// A request with the signature of one that recently went unserved is taken for its client's repeat, and
 	// its aim counts from the first arrival. Treated as new, repeats would displace requests that can earn
 	// their full worth. Harm: a new request for the same data in the same size inherits an older aim, once.
 	if first, ok := h.unserved[r.signature()]; ok && r.key != 0 && first+r.class.Deadline > h.now {
-		came = min(came, first)
+		askedAt = min(askedAt, first)
 	}
 	delete(h.unserved, r.signature())
-	r.firstAskedAt = came
-	r.aimAt = min(came+r.class.Aim, r.deadline)
+	r.firstAskedAt = askedAt
+	r.aimAt = min(askedAt+r.class.Aim, r.deadline)
 	h.requests[r.id] = r
 	h.unanswered++
 	v.liveRequests++
@@ -350,11 +350,11 @@
 // to come back, if a retry is certain to do no harm; otherwise it fails.
 func (h *Host) answerUnserved(r *request) {
 	if r.class.Repeat == Retryable || !r.mayHaveRun && r.inFlight == 0 {
-		deny := Refuse{Request: r.id}
+		refusal := Refuse{Request: r.id}
 		if h.settings.CoolDowns {
-			deny.RetryAfter = min(h.earliestSend(r, false)-h.now, h.settings.MaxCoolDown)
+			refusal.RetryAfter = min(h.earliestSend(r, false)-h.now, h.settings.MaxCoolDown)
 		}
-		h.emit(deny)
+		h.emit(refusal)
 	} else {
 		h.emit(Fail{r.id})
 	}
@@ -868,9 +868,9 @@
 		h.updateUnitTime(float64(took) / r.units)
 		wait := max(float64(took)-h.unitTime*r.units, 0)
 		h.recordWait(n, wait)
-		for _, x := range n.inFlight {
-			if x.waitDoublings > 0 && x.sentAt < a.sentAt && !x.overtaken {
-				x.overtaken = true
+		for _, older := range n.inFlight {
+			if older.waitDoublings > 0 && older.sentAt < a.sentAt && !older.overtaken {
+				older.overtaken = true
 				n.missingAnswers++
 			}
 		}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1150,8 +1150,8 @@
 func TestJammedNodeDrains(t *testing.T) {
 	s := testSettings()
 	s.Hosts = 400
-	most := int(sec/timeoutBackoff) * 2 // attempts a second of all hosts, with a margin for chance
-	var each [30]int
+	maxTries := int(sec/timeoutBackoff) * 2 // attempts a second of all hosts, with a margin for chance
+	var triesPerSecond [30]int
 	for host := range s.Hosts {
 		s.Number = host
 		b := newFixture(t, s, 1)
@@ -1159,22 +1159,22 @@
 		b.step(b.arrival(0, 3, withPatience(100*ms)))
 		b.advance(100 * ms)
 		b.step(attemptEnded(1, 0, 1, TimedOut), ClientGone{1})
-		for i := range each {
+		for i := range triesPerSecond {
 			var got []RequestID
 			for range 4 {
 				b.step(b.arrival(0, 3))
 				got = append(got, sends(b.advance(sec/4))...)
 			}
 			if len(got) > 0 {
-				each[i]++
+				triesPerSecond[i]++
 				break
 			}
 		}
 	}
 	tries := 0
-	for i, n := range each {
-		if tries += n; n > most {
-			t.Errorf("second %d: %d hosts try the node, want %d at most", i, n, most)
+	for i, n := range triesPerSecond {
+		if tries += n; n > maxTries {
+			t.Errorf("second %d: %d hosts try the node, want %d at most", i, n, maxTries)
 		}
 	}
 	if tries < s.Hosts*9/10 {
@@ -1225,9 +1225,9 @@
 		{"its turn at a cold node is far", 3, 1, 0.2, func(b *fixture) { b.startColdNode(b.now, 99) }, false, 3 * sec},
 		{"its turn at a cold node is near", 3, 1, 0, func(b *fixture) { b.startColdNode(b.now, 1) }, true, 0},
 	} {
-		for _, told := range []bool{false, true} {
+		for _, advised := range []bool{false, true} {
 			s := testSettings()
-			s.CoolDowns, s.MaxCoolDown = told, 3*sec
+			s.CoolDowns, s.MaxCoolDown = advised, 3*sec
 			for i := range s.Classes {
 				s.Classes[i].LateShare = c.late
 			}
@@ -1235,12 +1235,12 @@
 			c.set(b)
 			a := b.arrival(0, c.plan, units(c.units))
 			got := b.step(a)
-			deny := Refuse{Request: a.Request}
-			if told {
-				deny.RetryAfter = c.again
+			refusal := Refuse{Request: a.Request}
+			if advised {
+				refusal.RetryAfter = c.again
 			}
-			if has(got, deny) == c.held {
-				t.Errorf("%s, told %v: %v, held %v, want %v", c.name, told, got, !has(got, deny), c.held)
+			if has(got, refusal) == c.held {
+				t.Errorf("%s, told %v: %v, held %v, want %v", c.name, advised, got, !has(got, refusal), c.held)
 			}
 			if r := b.h.requests[a.Request]; (r != nil) != c.held {
 				t.Errorf("%s: still known %v, want %v", c.name, r != nil, c.held)
@@ -1283,7 +1283,7 @@
 // TestHeldIsAnsweredWhenItsChanceIsGone: a held request is answered in the Step in which it can no longer earn
 // anything: the node drains, or the aim passes and late answers earn nothing.
 func TestHeldIsAnsweredWhenItsChanceIsGone(t *testing.T) {
-	for _, gone := range []bool{true, false} {
+	for _, drains := range []bool{true, false} {
 		s := testSettings()
 		s.Classes[0].LateShare = 0
 		b := newFixture(t, s, 1)
@@ -1293,13 +1293,13 @@
 			t.Fatal("refused though an answer may make room")
 		}
 		var got []Action
-		if gone {
+		if drains {
 			got = b.after(10*ms, NodeList{Kind: ListDelta, Nodes: []Node{{ID: 1, State: Draining}}})
 		} else {
 			got = append(b.advance(390*ms), b.after(20*ms, TimerFired{})...)
 		}
 		if !has(got, Refuse{Request: a.Request}) {
-			t.Errorf("node gone %v: %v, want a refusal", gone, got)
+			t.Errorf("node gone %v: %v, want a refusal", drains, got)
 		}
 	}
 }
@@ -1429,8 +1429,8 @@
 // TestRoom: clients without a free connection cannot send at all, so held requests are shed before that: those past
 // their aim first, then the latest of the queue that is longest relative to its reservation; requests in flight never.
 func TestRoom(t *testing.T) {
-	const room = 18
-	full := func(room int) (*fixture, map[RequestID]int) {
+	const maxUnanswered = 18
+	setup := func(room int) (*fixture, map[RequestID]int) {
 		s := fourHostSettings()
 		s.CoolDowns, s.MaxCoolDown = true, 10*sec
 		b := newFixture(t, s, 1)
@@ -1447,7 +1447,7 @@
 		}
 		return b, plans
 	}
-	denied := func(actions []Action) (ids []RequestID) {
+	refused := func(actions []Action) (ids []RequestID) {
 		for _, a := range actions {
 			if d, ok := a.(Refuse); ok {
 				if ids = append(ids, d.Request); d.RetryAfter < 100*ms {
@@ -1457,13 +1457,13 @@
 		}
 		return ids
 	}
-	b, plans := full(room)       // 15 are unanswered, 18 may be
-	b.h.enqueue(b.h.requests[1]) // to be sent again while its first attempt is in flight
+	b, plans := setup(maxUnanswered) // 15 are unanswered, 18 may be
+	b.h.enqueue(b.h.requests[1])     // to be sent again while its first attempt is in flight
 	for range 30 {
 		a := b.arrival(0, 1)
 		plans[a.Request] = 1
-		got := denied(b.step(a))
-		if b.h.unanswered > room || b.h.unanswered < room && len(got) > 0 {
+		got := refused(b.step(a))
+		if b.h.unanswered > maxUnanswered || b.h.unanswered < maxUnanswered && len(got) > 0 {
 			t.Fatalf("%d unanswered, %v refused", b.h.unanswered, got)
 		}
 		for _, id := range got {
@@ -1487,14 +1487,14 @@
 		t.Errorf("%v left of plans with 10 and 30 reserved: not in proportion", left)
 	}
 
-	b, _ = full(room)
-	old := b.arrival(0, 1)
-	b.step(old)
-	b.h.requests[old.Request].aimAt = b.now
+	b, _ = setup(maxUnanswered)
+	late := b.arrival(0, 1)
+	b.step(late)
+	b.h.requests[late.Request].aimAt = b.now
 	for range 3 {
 		b.step(b.arrival(0, 0))
 	}
-	if r := b.h.requests[old.Request]; r != nil {
+	if r := b.h.requests[late.Request]; r != nil {
 		t.Error("one past its aim was kept before others")
 	}
 	out := 0
@@ -1508,14 +1508,14 @@
 		t.Errorf("%d out, want the two that were", out)
 	}
 
-	b, _ = full(0)
-	if got := denied(b.step(CapacityChanged{MaxUnanswered: 9})); len(got) != 6 || b.h.unanswered != 9 {
+	b, _ = setup(0)
+	if got := refused(b.step(CapacityChanged{MaxUnanswered: 9})); len(got) != 6 || b.h.unanswered != 9 {
 		t.Errorf("%d refused as the bound becomes 9, %d unanswered", len(got), b.h.unanswered)
 	}
 
-	b, _ = full(0)
+	b, _ = setup(0)
 	for range 100 {
-		if got := denied(b.step(b.arrival(0, 0))); len(got) > 0 {
+		if got := refused(b.step(b.arrival(0, 0))); len(got) > 0 {
 			t.Fatalf("%v refused without a bound", got)
 		}
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -744,9 +744,9 @@
 	f.set.Hosts, f.set.Tick, f.set.MaxAttempts, f.set.UnitMean, f.set.UnitTop = hosts, 2*ms, 4, 2, 6
 	f.set.Rules.ColdFrom, f.set.Rules.ColdTime, f.set.Rules.OverloadTime, f.set.Rules.TipMultiple = 0.2, 8*sec, sec, 4
 	f.set.Rules.ColdUnits = []float64{9, 20, 60, 200}[seed%4]
-	began := f.now
+	startedAt := f.now
 	for i := range 4 {
-		f.nodes = append(f.nodes, &coldNode{Node: Node{ID: NodeID(i + 1), Cell: i, State: Ready, Started: began + Micros(i/2)*4*sec}})
+		f.nodes = append(f.nodes, &coldNode{Node: Node{ID: NodeID(i + 1), Cell: i, State: Ready, Started: startedAt + Micros(i/2)*4*sec}})
 	}
 	total := 0.0
 	weight := make([]float64, hosts)
@@ -756,7 +756,7 @@
 		f.hosts, f.timers = append(f.hosts, nil), append(f.timers, nil)
 		f.startHost(t, i, seed*100+uint64(i))
 	}
-	back := map[int]Micros{} // when a killed process restarts
+	restartAt := map[int]Micros{} // when a killed process restarts
 	if faults {
 		f.transitTime = func() Micros {
 			switch x := rng.Float64(); {
@@ -771,16 +771,16 @@
 	// The load is two thirds of the nodes' full capacity, and more in a burst.
 	full := f.set.Rules.ColdUnits / f.set.Rules.ColdFrom / f.set.Rules.TipMultiple * 2 * 4 // units a second
 	served := 0
-	for f.now < began+14*sec {
+	for f.now < startedAt+14*sec {
 		f.now += 2 * ms
 		f.deliverArrivals()
 		for i := range hosts {
-			if at := f.now - began; faults && (at == 2*sec || at == 5200*ms) && rng.Float64() < 0.7 {
+			if at := f.now - startedAt; faults && (at == 2*sec || at == 5200*ms) && rng.Float64() < 0.7 {
 				f.killHost(i)
-				back[i] = f.now + Micros(rng.Int64N(int64(800*ms)))
+				restartAt[i] = f.now + Micros(rng.Int64N(int64(800*ms)))
 			}
-			if at, dead := back[i]; dead && f.now >= at {
-				delete(back, i)
+			if at, dead := restartAt[i]; dead && f.now >= at {
+				delete(restartAt, i)
 				f.startHost(t, i, seed*100+uint64(i)+uint64(f.now))
 			}
 		}
@@ -796,7 +796,7 @@
 		}
 		f.inFlight = keep
 		load := 0.67
-		if f.now < began+sec || f.now > began+5*sec && f.now < began+7*sec {
+		if f.now < startedAt+sec || f.now > startedAt+5*sec && f.now < startedAt+7*sec {
 			load = 3
 		}
 		for i := range hosts {
@@ -805,7 +805,7 @@
 			}
 			events := ended[i]
 			for _, n := range f.nodes {
-				if n.Started > began && f.now >= n.Started && f.now < n.Started+2*ms {
+				if n.Started > startedAt && f.now >= n.Started && f.now < n.Started+2*ms {
 					events = append(events, NodeList{Kind: ListDelta, Nodes: []Node{n.Node}})
 				}
 			}
@@ -817,15 +817,15 @@
 			f.step(i, events...)
 		}
 	}
-	most := 0.0
+	maxShare := 0.0
 	for _, n := range f.nodes {
-		most = max(most, n.maxShare)
+		maxShare = max(maxShare, n.maxShare)
 	}
-	t.Logf("seed %d: %d hosts, %v units: at most %.2f of what a node bears, %d served", seed, hosts, f.set.Rules.ColdUnits, most, served)
-	if most > 1 {
-		t.Errorf("seed %d: all together send %.2f of what a cold node bears", seed, most)
+	t.Logf("seed %d: %d hosts, %v units: at most %.2f of what a node bears, %d served", seed, hosts, f.set.Rules.ColdUnits, maxShare, served)
+	if maxShare > 1 {
+		t.Errorf("seed %d: all together send %.2f of what a cold node bears", seed, maxShare)
 	}
-	if most < 0.1 || served == 0 && !faults { // some nodes hang, and processes that wait for them are killed
-		t.Errorf("seed %d: %.2f of what a cold node bears is used", seed, most)
+	if maxShare < 0.1 || served == 0 && !faults { // some nodes hang, and processes that wait for them are killed
+		t.Errorf("seed %d: %.2f of what a cold node bears is used", seed, maxShare)
 	}
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -7,11 +7,11 @@
 func TestRestartedHostSendsAColdNodeNoSecondPart(t *testing.T) {
 	set := coldSettings()
 	set.Hosts, set.UnitMean, set.Rules.ColdUnits = 3, 2, 30
-	const host = 10 // units of 30 that each of three hosts may send in an overload time
-	var at []Micros // of each unit sent
+	const hostShare = 10 // units of 30 that each of three hosts may send in an overload time
+	var at []Micros      // of each unit sent
 	now := 100 * sec
 	started := now - 50*ms
-	for _, lives := range []Micros{200 * ms, 100 * ms, 300 * ms, 1500 * ms} {
+	for _, lifetime := range []Micros{200 * ms, 100 * ms, 300 * ms, 1500 * ms} {
 		now += 50 * ms // between the kill of one process and the start of the next
 		h, err := New(set, 1)
 		if err != nil {
@@ -19,7 +19,7 @@
 		}
 		h.Step(now, []Event{NodeList{Kind: ListFull, Nodes: []Node{{ID: 1, State: Ready, Started: started}}}}, nil)
 		id := RequestID(0)
-		for end := now + lives; now < end; now += 5 * ms {
+		for end := now + lifetime; now < end; now += 5 * ms {
 			id++
 			arrival := Arrival{Request: id, Cell: 0, Volume: VolumeID(id), Plan: 3, Attached: 1, Units: 1, Deadline: now + sec}
 			for _, sent := range sends(h.Step(now, []Event{arrival}, nil)) {
@@ -38,8 +38,8 @@
 				units++
 			}
 		}
-		if units > host+2 { // the share grows a little within the overload time
-			t.Fatalf("%d units in the window from %d, the host's part is %d", units, first, host)
+		if units > hostShare+2 { // the share grows a little within the overload time
+			t.Fatalf("%d units in the window from %d, the host's part is %d", units, first, hostShare)
 		}
 	}
 }
