--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -1,6 +1,7 @@
-// Package catalogue keeps what the files of a volume of objects are: a tree of names, properties, locks, and the objects
-// that each file's bytes lie on. It is one bbolt database; what a call has answered is on stable storage, and a call that
-// was cut off has happened whole or not at all. What no entry names is free: the space on the nodes has no other record.
+// Package catalogue stores the metadata of the files on a volume of objects: the tree of names, the properties, the
+// locks and the objects that hold each file's bytes. It is one bbolt database. Changes are on stable storage when a
+// call returns, and an interrupted call has taken effect either completely or not at all. Space that no entry refers to
+// is free: there is no other record of the space on the nodes.
 package catalogue
 
 import (
@@ -21,7 +22,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Object is a run of a file's bytes: where it lies in the volume, and how much of it is the file's.
+// Object is a contiguous part of a file: its offset in the volume and the number of bytes that belong to the file.
 type Object struct {
 	At, Len int64
 }
@@ -33,52 +34,52 @@
 	Size     int64
 	Created  int64 // nanoseconds since 1970
 	Modified int64
-	Version  uint64 // another with each change of content; never used twice
-	Type     string // of the content, as the client said; empty: not told
+	Version  uint64 // changes with the content; never reused
+	Type     string // content type as given by the client; empty if none was given
 	Props    []Prop // dead properties, in order
 	Objects  []Object
 }
 
-// Prop is a property that only the client understands.
+// Prop is a dead property: the server stores it without interpreting it.
 type Prop struct{ Space, Name, XML string }
 
-// Bounds.
+// Limits of names, paths and properties.
 const (
-	MostName  = 255      // bytes of a name
-	MostDepth = 4096     // names in a path
-	MostProps = 64 << 10 // bytes of an entry's dead properties
+	MaxNameBytes = 255      // bytes in a name
+	MaxDepth     = 4096     // names in a path
+	MaxPropBytes = 64 << 10 // bytes of all dead properties of an entry
 )
 
-// Errors that a caller tells apart.
+// Errors that callers distinguish with errors.Is.
 var (
-	ErrNotFound = errors.New("catalogue: no such name")
-	ErrNoParent = errors.New("catalogue: no such folder")
-	ErrExists   = errors.New("catalogue: the name is taken")
-	ErrIsDir    = errors.New("catalogue: it is a folder")
-	ErrInside   = errors.New("catalogue: a folder cannot lie in itself")
-	ErrName     = errors.New("catalogue: no such name can be")
+	ErrNotFound = errors.New("catalogue: file or folder not found")
+	ErrNoParent = errors.New("catalogue: parent folder not found")
+	ErrExists   = errors.New("catalogue: name already exists")
+	ErrIsDir    = errors.New("catalogue: is a folder")
+	ErrInside   = errors.New("catalogue: source or destination contains the other")
+	ErrName     = errors.New("catalogue: invalid path or name")
 	ErrTooLarge = errors.New("catalogue: too much for one entry")
 )
 
 /*
-Buckets, numbers big-endian:
+Buckets of the database. Numbers are big-endian, their length in bytes is given in parentheses:
 
-	names    parent (8), name     -> entry (8)
-	entries  entry (8)            -> CBOR of Entry
+	names    parent ID (8), name  -> entry ID (8)
+	entries  entry ID (8)         -> CBOR of Entry
 	locks    token                -> CBOR of locks.Lock
-	meta     "version 1"          -> last number given out (8)
+	meta     "version 1"          -> last allocated ID or version (8)
 */
 var (
-	bNames, bEntries, bLocks, bMeta = []byte("names"), []byte("entries"), []byte("locks"), []byte("meta")
-	kNumber                         = []byte("version 1")
+	namesBucket, entriesBucket, locksBucket, metaBucket = []byte("names"), []byte("entries"), []byte("locks"), []byte("meta")
+	lastNumberKey                                       = []byte("version 1")
 )
 
 const (
-	root    = 1 // the folder "/"
-	staging = 2 // the parent of trees that are not linked yet; empty at a start
+	rootID    = 1 // ID of the folder "/"
+	stagingID = 2 // ID of the parent of trees that are not linked yet; Open empties it
 )
 
-// Catalogue is one volume's. It is safe for concurrent use.
+// Catalogue is the catalogue of one volume. It is safe for concurrent use.
 type Catalogue struct {
 	db *bolt.DB
 
@@ -87,7 +88,8 @@
 	now   func() time.Time
 }
 
-// Open opens a catalogue, making it where there is none. What an earlier process had not linked yet is taken away.
+// Open opens the catalogue at path and creates it if it does not exist. It deletes trees that an earlier process had
+// not linked yet.
 func Open(path string) (c *Catalogue, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -100,30 +102,30 @@
 	}
 	db.MaxBatchDelay = time.Millisecond
 	c = &Catalogue{db: db, now: time.Now}
-	var kept []locks.Lock
+	var stored []locks.Lock
 	err = db.Update(func(tx *bolt.Tx) error {
-		for _, b := range [][]byte{bNames, bEntries, bLocks, bMeta} {
+		for _, b := range [][]byte{namesBucket, entriesBucket, locksBucket, metaBucket} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
 		}
-		t := &change{tx: tx}
-		if tx.Bucket(bMeta).Get(kNumber) == nil {
+		t := &writeTx{tx: tx}
+		if tx.Bucket(metaBucket).Get(lastNumberKey) == nil {
 			now := c.now().UnixNano()
-			if err := tx.Bucket(bMeta).Put(kNumber, num(staging)); err != nil {
+			if err := tx.Bucket(metaBucket).Put(lastNumberKey, encodeNumber(stagingID)); err != nil {
 				return err
 			}
-			if err := t.put(&Entry{ID: root, Dir: true, Created: now, Modified: now}); err != nil {
+			if err := t.put(&Entry{ID: rootID, Dir: true, Created: now, Modified: now}); err != nil {
 				return err
 			}
 		}
-		if err := t.dropAll(staging); err != nil {
+		if err := t.deleteContents(stagingID); err != nil {
 			return err
 		}
-		return tx.Bucket(bLocks).ForEach(func(_, v []byte) error {
+		return tx.Bucket(locksBucket).ForEach(func(_, v []byte) error {
 			var l locks.Lock
 			err := cbor.Unmarshal(v, &l)
-			kept = append(kept, l)
+			stored = append(stored, l)
 			return err
 		})
 	})
@@ -131,16 +133,17 @@
 		db.Close()
 		return nil, fmt.Errorf("catalogue: %s: %w", path, err)
 	}
-	c.locks = locks.New(c.now().Unix(), kept)
+	c.locks = locks.New(c.now().Unix(), stored)
 	return c, nil
 }
 
-// Close ends it.
+// Close closes the database.
 func (c *Catalogue) Close() error { return c.db.Close() }
 
-func num(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// encodeNumber returns n as a key or value of the database.
+func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Split cuts a path into names, checking each. The root has none.
+// Split splits a path into names and validates each. The root has no names. It returns ErrName for an invalid path.
 func Split(path string) ([]string, error) {
 	if path == "" || path[0] != '/' {
 		return nil, ErrName
@@ -148,14 +151,14 @@
 	var names []string
 	for _, n := range strings.Split(path, "/") {
 		if n == "" {
-			continue // also for a slash at the end
+			continue // repeated or trailing slash
 		}
-		if n == "." || n == ".." || len(n) > MostName || strings.IndexByte(n, 0) >= 0 {
+		if n == "." || n == ".." || len(n) > MaxNameBytes || strings.IndexByte(n, 0) >= 0 {
 			return nil, ErrName
 		}
 		names = append(names, n)
 	}
-	if len(names) > MostDepth {
+	if len(names) > MaxDepth {
 		return nil, ErrName
 	}
 	return names, nil
@@ -163,39 +166,42 @@
 
 // ---- reading ----
 
-type view struct{ tx *bolt.Tx }
+// readTx reads entries within a transaction.
+type readTx struct{ tx *bolt.Tx }
 
-func (v view) entry(id uint64) (*Entry, error) {
-	b := v.tx.Bucket(bEntries).Get(num(id))
+func (v readTx) entry(id uint64) (*Entry, error) {
+	b := v.tx.Bucket(entriesBucket).Get(encodeNumber(id))
 	if b == nil {
-		return nil, fmt.Errorf("catalogue: entry %d is named and does not stand there", id)
+		return nil, fmt.Errorf("catalogue: entry %d has a name but no record", id)
 	}
 	e := &Entry{}
 	return e, cbor.Unmarshal(b, e)
 }
 
-func (v view) child(parent uint64, name string) uint64 {
-	b := v.tx.Bucket(bNames).Get(append(num(parent), name...))
+// lookup returns the ID of a name in a folder, 0 if there is none.
+func (v readTx) lookup(parent uint64, name string) uint64 {
+	b := v.tx.Bucket(namesBucket).Get(append(encodeNumber(parent), name...))
 	if b == nil {
 		return 0
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-// find gives the entry of a path, and its parent and last name; the entry is nil where only it is missing.
-func (v view) find(path string) (e *Entry, parent uint64, name string, err error) {
+// resolve returns the entry of a path, its parent's ID and its last name. The entry is nil if the parent folder exists
+// but the name does not.
+func (v readTx) resolve(path string) (e *Entry, parent uint64, name string, err error) {
 	names, err := Split(path)
 	if err != nil {
 		return nil, 0, "", err
 	}
-	id := uint64(root)
+	id := uint64(rootID)
 	for i, n := range names {
 		parent, name = id, n
-		if id = v.child(parent, n); id == 0 {
+		if id = v.lookup(parent, n); id == 0 {
 			if i < len(names)-1 {
 				return nil, 0, "", ErrNoParent
 			}
-			// The parent must be a folder.
+			// The parent may be a file, which cannot hold names.
 			if p, err := v.entry(parent); err != nil || !p.Dir {
 				return nil, 0, "", errors.Join(ErrNoParent, err)
 			}
@@ -206,10 +212,10 @@
 	return e, parent, name, err
 }
 
-// Get finds a file or folder.
+// Get returns the entry of a file or folder, or ErrNotFound.
 func (c *Catalogue) Get(path string) (e *Entry, err error) {
 	err = c.db.View(func(tx *bolt.Tx) error {
-		if e, _, _, err = (view{tx}).find(path); err == nil && e == nil || errors.Is(err, ErrNoParent) {
+		if e, _, _, err = (readTx{tx}).resolve(path); err == nil && e == nil || errors.Is(err, ErrNoParent) {
 			err = ErrNotFound
 		}
 		return err
@@ -217,18 +223,19 @@
 	return e, err
 }
 
-// Child is a name in a folder.
+// Child is an entry of a folder with its name.
 type Child struct {
 	Name string
 	Entry
 }
 
-// List gives up to n names of a folder that come after one, in order; fewer mean that there are no more.
+// List returns up to n children of a folder whose names sort after the given one, in order of their names. Fewer than n
+// mean that there are no more.
 func (c *Catalogue) List(id uint64, after string, n int) (out []Child, err error) {
 	err = c.db.View(func(tx *bolt.Tx) error {
-		v, prefix := view{tx}, num(id)
-		cur := tx.Bucket(bNames).Cursor()
-		for k, b := cur.Seek(append(num(id), after...)); k != nil && bytes.HasPrefix(k, prefix) && len(out) < n; k, b = cur.Next() {
+		v, prefix := readTx{tx}, encodeNumber(id)
+		cur := tx.Bucket(namesBucket).Cursor()
+		for k, b := cur.Seek(append(encodeNumber(id), after...)); k != nil && bytes.HasPrefix(k, prefix) && len(out) < n; k, b = cur.Next() {
 			name := string(k[8:])
 			if name == after {
 				continue
@@ -244,10 +251,10 @@
 	return out, err
 }
 
-// Objects calls f for each object that a file lies on.
+// Objects calls f for each object of every file and stops at the first error.
 func (c *Catalogue) Objects(f func(o Object) error) error {
 	return c.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(bEntries).ForEach(func(_, b []byte) error {
+		return tx.Bucket(entriesBucket).ForEach(func(_, b []byte) error {
 			var e Entry
 			if err := cbor.Unmarshal(b, &e); err != nil {
 				return err
@@ -264,42 +271,43 @@
 
 // ---- changing ----
 
-// change is a transaction, with what it sets free.
-type change struct {
-	tx    *bolt.Tx
-	now   int64
-	freed []Freed
-	drop  []string // tokens of locks
+// writeTx is a read-write transaction. It collects the objects that it frees.
+type writeTx struct {
+	tx           *bolt.Tx
+	now          int64
+	freed        []Freed
+	droppedLocks []string // lock tokens
 }
 
-// Freed is what a change has taken from an entry.
+// Freed lists objects that a change has detached from an entry, with the entry's ID and the version that used them.
 type Freed struct {
 	Entry   uint64
 	Version uint64
 	Objects []Object
 }
 
-func (t *change) put(e *Entry) error {
+func (t *writeTx) put(e *Entry) error {
 	b, err := cbor.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return t.tx.Bucket(bEntries).Put(num(e.ID), b)
+	return t.tx.Bucket(entriesBucket).Put(encodeNumber(e.ID), b)
 }
 
-// number gives out a number that was never given out.
-func (t *change) number() (uint64, error) {
-	b := t.tx.Bucket(bMeta)
-	n := binary.BigEndian.Uint64(b.Get(kNumber)) + 1
-	return n, b.Put(kNumber, num(n))
+// nextNumber allocates a number for an ID or a version. No number is allocated twice.
+func (t *writeTx) nextNumber() (uint64, error) {
+	b := t.tx.Bucket(metaBucket)
+	n := binary.BigEndian.Uint64(b.Get(lastNumberKey)) + 1
+	return n, b.Put(lastNumberKey, encodeNumber(n))
 }
 
-func (t *change) link(parent uint64, name string, id uint64) error {
-	return t.tx.Bucket(bNames).Put(append(num(parent), name...), num(id))
+func (t *writeTx) link(parent uint64, name string, id uint64) error {
+	return t.tx.Bucket(namesBucket).Put(append(encodeNumber(parent), name...), encodeNumber(id))
 }
 
-func (t *change) touch(id uint64) error {
-	e, err := view{t.tx}.entry(id)
+// touch updates the modification time of an entry.
+func (t *writeTx) touch(id uint64) error {
+	e, err := readTx{t.tx}.entry(id)
 	if err != nil {
 		return err
 	}
@@ -307,32 +315,33 @@
 	return t.put(e)
 }
 
-func (t *change) free(e *Entry) {
+// recordFreed records that the objects of an entry are no longer in use.
+func (t *writeTx) recordFreed(e *Entry) {
 	if len(e.Objects) > 0 {
 		t.freed = append(t.freed, Freed{e.ID, e.Version, e.Objects})
 	}
 }
 
-// dropAll takes away all that lies in a folder, however deep.
-func (t *change) dropAll(id uint64) error {
-	names, entries := t.tx.Bucket(bNames), t.tx.Bucket(bEntries)
-	for todo := []uint64{id}; len(todo) > 0; {
-		at := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		prefix := num(at)
+// deleteContents deletes everything below a folder, at any depth.
+func (t *writeTx) deleteContents(id uint64) error {
+	names, entries := t.tx.Bucket(namesBucket), t.tx.Bucket(entriesBucket)
+	for pending := []uint64{id}; len(pending) > 0; {
+		folder := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		prefix := encodeNumber(folder)
 		var keys [][]byte
 		cur := names.Cursor()
 		for k, b := cur.Seek(prefix); k != nil && bytes.HasPrefix(k, prefix); k, b = cur.Next() {
 			keys = append(keys, slices.Clone(k))
-			e, err := view{t.tx}.entry(binary.BigEndian.Uint64(b))
+			e, err := readTx{t.tx}.entry(binary.BigEndian.Uint64(b))
 			if err != nil {
 				return err
 			}
 			if e.Dir {
-				todo = append(todo, e.ID)
+				pending = append(pending, e.ID)
 			}
-			t.free(e)
-			if err := entries.Delete(num(e.ID)); err != nil {
+			t.recordFreed(e)
+			if err := entries.Delete(encodeNumber(e.ID)); err != nil {
 				return err
 			}
 		}
@@ -345,50 +354,52 @@
 	return nil
 }
 
-// unlink takes an entry away with all that lies in it.
-func (t *change) unlink(parent uint64, name string, e *Entry) error {
+// deleteEntry deletes an entry and its name, and everything below it.
+func (t *writeTx) deleteEntry(parent uint64, name string, e *Entry) error {
 	if e.Dir {
-		if err := t.dropAll(e.ID); err != nil {
+		if err := t.deleteContents(e.ID); err != nil {
 			return err
 		}
 	}
-	t.free(e)
-	if err := t.tx.Bucket(bEntries).Delete(num(e.ID)); err != nil {
+	t.recordFreed(e)
+	if err := t.tx.Bucket(entriesBucket).Delete(encodeNumber(e.ID)); err != nil {
 		return err
 	}
-	return t.tx.Bucket(bNames).Delete(append(num(parent), name...))
+	return t.tx.Bucket(namesBucket).Delete(append(encodeNumber(parent), name...))
 }
 
-// update runs a change to stable storage; changes that come together share a sync. f may run more than once.
-func (c *Catalogue) update(f func(t *change) error) (freed []Freed, err error) {
-	var last *change
+// update runs f in a read-write transaction and returns once it is on stable storage. Concurrent transactions share a
+// sync. f may run more than once.
+func (c *Catalogue) update(f func(t *writeTx) error) (freed []Freed, err error) {
+	var attempt *writeTx
 	err = c.db.Batch(func(tx *bolt.Tx) error {
-		last = &change{tx: tx, now: c.now().UnixNano()}
-		return f(last)
+		attempt = &writeTx{tx: tx, now: c.now().UnixNano()}
+		return f(attempt)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return last.freed, nil
+	return attempt.freed, nil
 }
 
-// Put makes a file's content be some objects, in the place of what it was. The old ones are freed.
-func (c *Catalogue) Put(path, kind string, size int64, objects []Object, check func(e *Entry) error) (e *Entry, created bool, freed []Freed, err error) {
-	freed, err = c.update(func(t *change) error {
-		old, parent, name, err := view{t.tx}.find(path)
+// Put replaces the content of a file with the given objects, or creates the file. It returns the old objects as freed.
+// An error of the precondition, which gets the existing entry or nil, leaves the file unchanged.
+func (c *Catalogue) Put(path, contentType string, size int64, objects []Object, precondition func(e *Entry) error) (e *Entry, created bool, freed []Freed, err error) {
+	freed, err = c.update(func(t *writeTx) error {
+		old, parent, name, err := readTx{t.tx}.resolve(path)
 		if err != nil {
 			return err
 		}
 		if old != nil && old.Dir {
 			return ErrIsDir
 		}
-		if err := check(old); err != nil {
+		if err := precondition(old); err != nil {
 			return err
 		}
 		created = old == nil
 		if e = old; e == nil {
 			e = &Entry{Created: t.now}
-			if e.ID, err = t.number(); err != nil {
+			if e.ID, err = t.nextNumber(); err != nil {
 				return err
 			}
 			if err := t.link(parent, name, e.ID); err != nil {
@@ -398,21 +409,21 @@
 				return err
 			}
 		} else {
-			t.free(old)
+			t.recordFreed(old)
 		}
-		if e.Version, err = t.number(); err != nil {
+		if e.Version, err = t.nextNumber(); err != nil {
 			return err
 		}
-		e.Size, e.Objects, e.Modified, e.Type = size, objects, t.now, kind
+		e.Size, e.Objects, e.Modified, e.Type = size, objects, t.now, contentType
 		return t.put(e)
 	})
 	return e, created, freed, err
 }
 
-// Mkdir makes a folder.
+// Mkdir creates a folder.
 func (c *Catalogue) Mkdir(path string) error {
-	_, err := c.update(func(t *change) error {
-		old, parent, name, err := view{t.tx}.find(path)
+	_, err := c.update(func(t *writeTx) error {
+		old, parent, name, err := readTx{t.tx}.resolve(path)
 		if err != nil {
 			return err
 		}
@@ -424,15 +435,15 @@
 	return err
 }
 
-func (t *change) mkdir(parent uint64, name string, props []Prop) error {
-	id, err := t.number()
+func (t *writeTx) mkdir(parent uint64, name string, props []Prop) error {
+	id, err := t.nextNumber()
 	if err != nil {
 		return err
 	}
 	if err := t.link(parent, name, id); err != nil {
 		return err
 	}
-	if parent != staging {
+	if parent != stagingID {
 		if err := t.touch(parent); err != nil {
 			return err
 		}
@@ -440,23 +451,24 @@
 	return t.put(&Entry{ID: id, Dir: true, Created: t.now, Modified: t.now, Props: props})
 }
 
-// Delete takes a file or a whole folder away. The root stays, emptied.
+// Delete deletes a file, or a folder with everything below it. The root itself stays and is emptied.
 func (c *Catalogue) Delete(path string) ([]Freed, error) {
-	return c.update(func(t *change) error {
-		e, parent, name, err := view{t.tx}.find(path)
+	return c.update(func(t *writeTx) error {
+		e, parent, name, err := readTx{t.tx}.resolve(path)
 		if err != nil || e == nil {
 			return orNotFound(err)
 		}
-		if e.ID == root {
-			return t.dropAll(root)
+		if e.ID == rootID {
+			return t.deleteContents(rootID)
 		}
-		if err := t.unlink(parent, name, e); err != nil {
+		if err := t.deleteEntry(parent, name, e); err != nil {
 			return err
 		}
 		return t.touch(parent)
 	})
 }
 
+// orNotFound returns ErrNotFound for a missing name or parent folder, and any other error as it is.
 func orNotFound(err error) error {
 	if err == nil || errors.Is(err, ErrNoParent) {
 		return ErrNotFound
@@ -464,18 +476,19 @@
 	return err
 }
 
-// Move gives a file or folder another name, at once however much lies in it.
+// Move renames a file or folder atomically. Its cost does not depend on what a folder contains. An existing destination
+// is deleted if overwrite is set, otherwise Move returns ErrExists.
 func (c *Catalogue) Move(from, to string, overwrite bool) (created bool, freed []Freed, err error) {
-	freed, err = c.update(func(t *change) error {
-		v := view{t.tx}
-		e, parent, name, err := v.find(from)
+	freed, err = c.update(func(t *writeTx) error {
+		v := readTx{t.tx}
+		e, parent, name, err := v.resolve(from)
 		if err != nil || e == nil {
 			return orNotFound(err)
 		}
-		if inside(to, from) || inside(from, to) || e.ID == root {
+		if inside(to, from) || inside(from, to) || e.ID == rootID {
 			return ErrInside
 		}
-		old, newParent, newName, err := v.find(to)
+		old, newParent, newName, err := v.resolve(to)
 		if err != nil {
 			return err
 		}
@@ -483,11 +496,11 @@
 			if !overwrite {
 				return ErrExists
 			}
-			if err := t.unlink(newParent, newName, old); err != nil {
+			if err := t.deleteEntry(newParent, newName, old); err != nil {
 				return err
 			}
 		}
-		if err := t.tx.Bucket(bNames).Delete(append(num(parent), name...)); err != nil {
+		if err := t.tx.Bucket(namesBucket).Delete(append(encodeNumber(parent), name...)); err != nil {
 			return err
 		}
 		if err := t.link(newParent, newName, e.ID); err != nil {
@@ -498,41 +511,42 @@
 	return created, freed, err
 }
 
-// inside tells whether a path is another or lies in it.
-func inside(path, in string) bool {
-	path, in = strings.TrimSuffix(path, "/")+"/", strings.TrimSuffix(in, "/")+"/"
-	return strings.HasPrefix(path, in)
+// inside reports whether a path is the folder itself or lies below it.
+func inside(path, folder string) bool {
+	path, folder = strings.TrimSuffix(path, "/")+"/", strings.TrimSuffix(folder, "/")+"/"
+	return strings.HasPrefix(path, folder)
 }
 
-// Tree is a copy that is being made: nobody sees it until it is linked, and a crash before that leaves nothing of it.
+// Tree is a copy under construction. It is invisible until Link, and after a crash before that the next Open deletes
+// it.
 type Tree struct {
-	c    *Catalogue
-	name string // in staging
-	root uint64
+	catalogue *Catalogue
+	name      string // in the folder stagingID
+	root      uint64
 }
 
-// NewTree begins a copy whose root is a folder, or a file with objects.
+// NewTree starts a copy whose root is a new entry with the content of e: a folder, or a file with its objects.
 func (c *Catalogue) NewTree(e Entry) (*Tree, error) {
-	t := &Tree{c: c}
-	_, err := c.update(func(ch *change) error {
-		n, err := ch.number()
+	t := &Tree{catalogue: c}
+	_, err := c.update(func(tx *writeTx) error {
+		n, err := tx.nextNumber()
 		if err != nil {
 			return err
 		}
 		t.name = fmt.Sprint(n)
-		t.root, err = ch.add(staging, t.name, e)
+		t.root, err = tx.addEntry(stagingID, t.name, e)
 		return err
 	})
 	return t, err
 }
 
-// add makes an entry with the content of another.
-func (t *change) add(parent uint64, name string, e Entry) (id uint64, err error) {
-	if id, err = t.number(); err != nil {
+// addEntry creates an entry with the content of e, under a new ID and version.
+func (t *writeTx) addEntry(parent uint64, name string, e Entry) (id uint64, err error) {
+	if id, err = t.nextNumber(); err != nil {
 		return 0, err
 	}
 	e.ID, e.Created, e.Modified = id, t.now, t.now
-	if e.Version, err = t.number(); err != nil {
+	if e.Version, err = t.nextNumber(); err != nil {
 		return 0, err
 	}
 	if err := t.link(parent, name, id); err != nil {
@@ -541,22 +555,23 @@
 	return id, t.put(&e)
 }
 
-// Root is the entry of the copy's root.
+// Root returns the ID of the copy's root entry.
 func (t *Tree) Root() uint64 { return t.root }
 
-// Add puts an entry into a folder of the copy.
+// Add creates an entry in a folder of the copy and returns its ID.
 func (t *Tree) Add(parent uint64, name string, e Entry) (id uint64, err error) {
-	_, err = t.c.update(func(ch *change) (err error) {
-		id, err = ch.add(parent, name, e)
+	_, err = t.catalogue.update(func(tx *writeTx) (err error) {
+		id, err = tx.addEntry(parent, name, e)
 		return err
 	})
 	return id, err
 }
 
-// Link puts the whole copy in its place at once.
+// Link moves the whole copy to its destination atomically. An existing destination is deleted if overwrite is set,
+// otherwise Link returns ErrExists.
 func (t *Tree) Link(to string, overwrite bool) (created bool, freed []Freed, err error) {
-	freed, err = t.c.update(func(ch *change) error {
-		old, parent, name, err := view{ch.tx}.find(to)
+	freed, err = t.catalogue.update(func(tx *writeTx) error {
+		old, parent, name, err := readTx{tx.tx}.resolve(to)
 		if err != nil {
 			return err
 		}
@@ -564,52 +579,52 @@
 			if !overwrite {
 				return ErrExists
 			}
-			if old.ID == root {
+			if old.ID == rootID {
 				return ErrInside
 			}
-			if err := ch.unlink(parent, name, old); err != nil {
+			if err := tx.deleteEntry(parent, name, old); err != nil {
 				return err
 			}
 		}
-		if err := ch.tx.Bucket(bNames).Delete(append(num(staging), t.name...)); err != nil {
+		if err := tx.tx.Bucket(namesBucket).Delete(append(encodeNumber(stagingID), t.name...)); err != nil {
 			return err
 		}
-		if err := ch.link(parent, name, t.root); err != nil {
+		if err := tx.link(parent, name, t.root); err != nil {
 			return err
 		}
-		return ch.touch(parent)
+		return tx.touch(parent)
 	})
 	return created, freed, err
 }
 
-// Drop gives the copy up.
+// Drop deletes the copy and returns its objects as freed.
 func (t *Tree) Drop() ([]Freed, error) {
-	return t.c.update(func(ch *change) error {
-		e, err := view{ch.tx}.entry(t.root)
+	return t.catalogue.update(func(tx *writeTx) error {
+		e, err := readTx{tx.tx}.entry(t.root)
 		if err != nil {
 			return err
 		}
-		return ch.unlink(staging, t.name, e)
+		return tx.deleteEntry(stagingID, t.name, e)
 	})
 }
 
-// SetProps changes dead properties, all or none.
+// SetProps sets and removes dead properties of an entry. Either all changes are made or none.
 func (c *Catalogue) SetProps(path string, set, remove []Prop) error {
-	_, err := c.update(func(t *change) error {
-		e, _, _, err := view{t.tx}.find(path)
+	_, err := c.update(func(t *writeTx) error {
+		e, _, _, err := readTx{t.tx}.resolve(path)
 		if err != nil || e == nil {
 			return orNotFound(err)
 		}
-		gone := func(p Prop) bool {
+		replaced := func(p Prop) bool {
 			same := func(o Prop) bool { return o.Space == p.Space && o.Name == p.Name }
 			return slices.ContainsFunc(set, same) || slices.ContainsFunc(remove, same)
 		}
-		e.Props = append(slices.DeleteFunc(e.Props, gone), set...)
-		n := 0
+		e.Props = append(slices.DeleteFunc(e.Props, replaced), set...)
+		total := 0
 		for _, p := range e.Props {
-			n += len(p.Space) + len(p.Name) + len(p.XML)
+			total += len(p.Space) + len(p.Name) + len(p.XML)
 		}
-		if n > MostProps {
+		if total > MaxPropBytes {
 			return ErrTooLarge
 		}
 		return t.put(e)
@@ -619,78 +634,78 @@
 
 // ---- locks ----
 
-// Locks lets the table be read or asked; nothing of it may be kept.
+// Locks calls f with the lock table for reading. f must not retain anything of the table.
 func (c *Catalogue) Locks(f func(now int64, t *locks.Table)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.now().Unix(), c.locks)
 }
 
-// ChangeLocks lets the table be changed and brings what changed to stable storage before it returns. F gives the lock that
-// is new or lasts anew, and the tokens of those that are gone; where they cannot be kept they hold all the same until the
-// process ends, which errs on the safe side.
+// ChangeLocks calls f to change the lock table and writes the changes to stable storage before it returns. f returns
+// the lock that it granted or refreshed, if any, and the tokens of removed locks. If the write fails, the table in
+// memory keeps the changes until the process ends: a granted lock still holds, which is the safe side.
 func (c *Catalogue) ChangeLocks(f func(now int64, t *locks.Table) (*locks.Lock, []string, error)) (l locks.Lock, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now().Unix()
-	got, gone, err := f(now, c.locks)
+	granted, removed, err := f(now, c.locks)
 	if err != nil {
 		return l, err
 	}
-	gone = append(gone, c.locks.Expire(now, 100)...)
-	if got != nil {
-		l = *got
+	removed = append(removed, c.locks.Expire(now, 100)...)
+	if granted != nil {
+		l = *granted
 	}
-	if got == nil && len(gone) == 0 {
+	if granted == nil && len(removed) == 0 {
 		return l, nil
 	}
 	return l, c.db.Update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(bLocks)
-		for _, token := range gone {
+		b := tx.Bucket(locksBucket)
+		for _, token := range removed {
 			if err := b.Delete([]byte(token)); err != nil {
 				return err
 			}
 		}
-		if got == nil {
+		if granted == nil {
 			return nil
 		}
-		v, err := cbor.Marshal(got)
+		v, err := cbor.Marshal(granted)
 		if err != nil {
 			return err
 		}
-		return b.Put([]byte(got.Token), v)
+		return b.Put([]byte(granted.Token), v)
 	})
 }
 
 // ---- for operators ----
 
-// Check looks for what cannot be: names of entries that are not there, entries without a name, bytes that two files lie
-// on, sizes that do not fit. It gives one line for each.
+// Check looks for inconsistencies: names without an entry, entries without a name or with two, bytes that belong to two
+// objects, and sizes that differ from the total of the objects. It returns one line for each.
 func (c *Catalogue) Check() (problems []string, files, folders int, err error) {
-	bad := func(format string, a ...any) { problems = append(problems, fmt.Sprintf(format, a...)) }
+	report := func(format string, a ...any) { problems = append(problems, fmt.Sprintf(format, a...)) }
 	err = c.db.View(func(tx *bolt.Tx) error {
-		named := map[uint64]int{root: 1}
-		if err := tx.Bucket(bNames).ForEach(func(k, b []byte) error {
+		nameCounts := map[uint64]int{rootID: 1}
+		if err := tx.Bucket(namesBucket).ForEach(func(k, b []byte) error {
 			if len(k) <= 8 || len(b) != 8 {
-				bad("a name of %d bytes for %d", len(k), len(b))
+				report("invalid name record: key of %d bytes, value of %d bytes", len(k), len(b))
 				return nil
 			}
 			id := binary.BigEndian.Uint64(b)
-			if named[id]++; named[id] == 2 {
-				bad("entry %d has two names, one of them %q", id, k[8:])
+			if nameCounts[id]++; nameCounts[id] == 2 {
+				report("entry %d has two names, one of them %q", id, k[8:])
 			}
-			if tx.Bucket(bEntries).Get(b) == nil {
-				bad("name %q in %d: entry %d does not stand there", k[8:], binary.BigEndian.Uint64(k), id)
+			if tx.Bucket(entriesBucket).Get(b) == nil {
+				report("name %q in folder %d: entry %d does not exist", k[8:], binary.BigEndian.Uint64(k), id)
 			}
 			return nil
 		}); err != nil {
 			return err
 		}
-		var all []Object
-		err := tx.Bucket(bEntries).ForEach(func(k, b []byte) error {
+		var objects []Object
+		err := tx.Bucket(entriesBucket).ForEach(func(k, b []byte) error {
 			var e Entry
 			if err := cbor.Unmarshal(b, &e); err != nil {
-				bad("entry %x: %v", k, err)
+				report("entry %x: %v", k, err)
 				return nil
 			}
 			if e.Dir {
@@ -698,23 +713,23 @@
 			} else {
 				files++
 			}
-			if named[e.ID] == 0 {
-				bad("entry %d has no name", e.ID)
+			if nameCounts[e.ID] == 0 {
+				report("entry %d has no name", e.ID)
 			}
-			n := int64(0)
+			total := int64(0)
 			for _, o := range e.Objects {
-				n += o.Len
+				total += o.Len
 			}
-			if n != e.Size {
-				bad("entry %d is of %d bytes and has objects of %d", e.ID, e.Size, n)
+			if total != e.Size {
+				report("entry %d has a size of %d bytes, but its objects have %d bytes", e.ID, e.Size, total)
 			}
-			all = append(all, e.Objects...)
+			objects = append(objects, e.Objects...)
 			return nil
 		})
-		slices.SortFunc(all, func(a, b Object) int { return int(min(max(a.At-b.At, -1), 1)) })
-		for i := 1; i < len(all); i++ {
-			if all[i-1].At+all[i-1].Len > all[i].At {
-				bad("two objects lie on byte %d of the volume", all[i].At)
+		slices.SortFunc(objects, func(a, b Object) int { return int(min(max(a.At-b.At, -1), 1)) })
+		for i := 1; i < len(objects); i++ {
+			if objects[i-1].At+objects[i-1].Len > objects[i].At {
+				report("two objects overlap at byte %d of the volume", objects[i].At)
 			}
 		}
 		return err
@@ -722,97 +737,99 @@
 	return problems, files, folders, err
 }
 
-// Repair makes a catalogue sound again as far as that can be: names of entries that are not there go, entries without a
-// name come to /lost+found under their numbers, and of two files that lie on the same bytes the one that was written last
-// keeps them, as the other's were overwritten; that one goes. It gives a line for each thing done.
+// Repair restores the consistency of a catalogue as far as possible. It deletes unreadable entries and names without an
+// entry, and moves entries without a name to /lost+found, named after their IDs. If two files share bytes, it keeps the
+// one that was written last and deletes the other, whose bytes were overwritten. It returns one line for each change.
 func (c *Catalogue) Repair() (done []string, err error) {
-	_, err = c.update(func(t *change) error {
+	_, err = c.update(func(t *writeTx) error {
 		done = nil
-		did := func(format string, a ...any) { done = append(done, fmt.Sprintf(format, a...)) }
-		names, entries := t.tx.Bucket(bNames), t.tx.Bucket(bEntries)
-		all := map[uint64]*Entry{}
-		var broken [][]byte
+		report := func(format string, a ...any) { done = append(done, fmt.Sprintf(format, a...)) }
+		names, entries := t.tx.Bucket(namesBucket), t.tx.Bucket(entriesBucket)
+		valid := map[uint64]*Entry{}
+		var unreadable [][]byte
 		if err := entries.ForEach(func(k, b []byte) error {
 			var e Entry
-			n := int64(0)
+			total := int64(0)
 			if len(k) == 8 && cbor.Unmarshal(b, &e) == nil {
 				for _, o := range e.Objects {
-					n += o.Len
+					total += o.Len
 				}
 			}
-			if len(k) != 8 || e.ID != binary.BigEndian.Uint64(k) || n != e.Size {
-				broken = append(broken, slices.Clone(k))
+			if len(k) != 8 || e.ID != binary.BigEndian.Uint64(k) || total != e.Size {
+				unreadable = append(unreadable, slices.Clone(k))
 				return nil
 			}
-			all[e.ID] = &e
+			valid[e.ID] = &e
 			return nil
 		}); err != nil {
 			return err
 		}
-		for _, k := range broken {
-			did("entry %x cannot be read, or its size is not that of its objects: taken away", k)
+		for _, k := range unreadable {
+			report("entry %x cannot be read, or its size differs from the total of its objects: deleted", k)
 			if err := entries.Delete(k); err != nil {
 				return err
 			}
 		}
-		type use struct {
+		type objectUse struct {
 			Object
 			e *Entry
 		}
-		var uses []use
-		for _, e := range all {
+		var uses []objectUse
+		for _, e := range valid {
 			for _, o := range e.Objects {
-				uses = append(uses, use{o, e})
+				uses = append(uses, objectUse{o, e})
 			}
 		}
-		slices.SortFunc(uses, func(a, b use) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.e.Version, b.e.Version)) })
+		slices.SortFunc(uses, func(a, b objectUse) int {
+			return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.e.Version, b.e.Version))
+		})
 		for i := 1; i < len(uses); i++ {
 			a, b := uses[i-1], uses[i]
-			if a.At+a.Len <= b.At || all[a.e.ID] == nil || all[b.e.ID] == nil || a.e == b.e {
+			if a.At+a.Len <= b.At || valid[a.e.ID] == nil || valid[b.e.ID] == nil || a.e == b.e {
 				continue
 			}
-			old := a.e
+			overwritten := a.e
 			if b.e.Version < a.e.Version {
-				old = b.e
+				overwritten = b.e
 			}
-			did("entry %d lies on bytes that were written anew: taken away", old.ID)
-			delete(all, old.ID)
-			if err := entries.Delete(num(old.ID)); err != nil {
+			report("entry %d shares bytes with an entry written later: deleted", overwritten.ID)
+			delete(valid, overwritten.ID)
+			if err := entries.Delete(encodeNumber(overwritten.ID)); err != nil {
 				return err
 			}
 		}
-		if all[root] == nil {
-			all[root] = &Entry{ID: root, Dir: true, Created: t.now, Modified: t.now}
-			did("the root is made anew")
-			if err := t.put(all[root]); err != nil {
+		if valid[rootID] == nil {
+			valid[rootID] = &Entry{ID: rootID, Dir: true, Created: t.now, Modified: t.now}
+			report("the root folder was missing: created")
+			if err := t.put(valid[rootID]); err != nil {
 				return err
 			}
 		}
-		named := map[uint64]bool{root: true}
-		var wrong [][]byte
+		named := map[uint64]bool{rootID: true}
+		var dangling [][]byte
 		if err := names.ForEach(func(k, b []byte) error {
 			ok := len(k) > 8 && len(b) == 8
 			if ok {
-				parent, id := all[binary.BigEndian.Uint64(k)], binary.BigEndian.Uint64(b)
-				if ok = parent != nil && parent.Dir && all[id] != nil && !named[id]; ok {
+				parent, id := valid[binary.BigEndian.Uint64(k)], binary.BigEndian.Uint64(b)
+				if ok = parent != nil && parent.Dir && valid[id] != nil && !named[id]; ok {
 					named[id] = true
 				}
 			}
 			if !ok {
-				wrong = append(wrong, slices.Clone(k))
+				dangling = append(dangling, slices.Clone(k))
 			}
 			return nil
 		}); err != nil {
 			return err
 		}
-		for _, k := range wrong {
-			did("name %q leads nowhere: taken away", k[min(8, len(k)):])
+		for _, k := range dangling {
+			report("name %q has no valid entry or folder, or is a second name: deleted", k[min(8, len(k)):])
 			if err := names.Delete(k); err != nil {
 				return err
 			}
 		}
 		var orphans []uint64
-		for id := range all {
+		for id := range valid {
 			if !named[id] {
 				orphans = append(orphans, id)
 			}
@@ -822,15 +839,15 @@
 			return nil
 		}
 		const lost = "lost+found"
-		folder := view{t.tx}.child(root, lost)
+		folder := readTx{t.tx}.lookup(rootID, lost)
 		if folder == 0 {
-			if err := t.mkdir(root, lost, nil); err != nil {
+			if err := t.mkdir(rootID, lost, nil); err != nil {
 				return err
 			}
-			folder = view{t.tx}.child(root, lost)
+			folder = readTx{t.tx}.lookup(rootID, lost)
 		}
 		for _, id := range orphans {
-			did("entry %d has no name: it is /%s/%d now", id, lost, id)
+			report("entry %d has no name: moved to /%s/%d", id, lost, id)
 			if err := t.link(folder, fmt.Sprint(id), id); err != nil {
 				return err
 			}
@@ -840,26 +857,26 @@
 	return done, err
 }
 
-// Export writes a line for each name: its path, size, version and objects.
+// Export writes one line for each name: its kind, path, size, version and objects, separated by tabs.
 func (c *Catalogue) Export(w io.Writer) error {
-	type at struct {
+	type pendingFolder struct {
 		id   uint64
 		path string
 	}
-	for todo := []at{{root, ""}}; len(todo) > 0; {
-		d := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	for pending := []pendingFolder{{rootID, ""}}; len(pending) > 0; {
+		folder := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		for after := ""; ; {
-			list, err := c.List(d.id, after, 1000)
+			list, err := c.List(folder.id, after, 1000)
 			if err != nil {
 				return err
 			}
 			for _, e := range list {
-				path := d.path + "/" + e.Name
+				path := folder.path + "/" + e.Name
 				kind := "file"
 				if e.Dir {
 					kind = "folder"
-					todo = append(todo, at{e.ID, path})
+					pending = append(pending, pendingFolder{e.ID, path})
 				}
 				if _, err := fmt.Fprintf(w, "%s\t%q\t%d\t%d\t%v\n", kind, path, e.Size, e.Version, e.Objects); err != nil {
 					return err
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-func open(t testing.TB, path string) *Catalogue {
+func openCatalogue(t testing.TB, path string) *Catalogue {
 	t.Helper()
 	c, err := Open(path)
 	if err != nil {
@@ -23,10 +23,10 @@
 	return c
 }
 
-func always(*Entry) error { return nil }
+func acceptAny(*Entry) error { return nil }
 
-// Against a plain map of paths: any course of puts, folders, deletes, moves and copies, with restarts; what is freed is
-// exactly what nothing names any more, and the check finds nothing.
+// Compares the catalogue with a map of paths over random sequences of puts, new folders, deletes, moves, copies and
+// restarts. Exactly the objects that no entry refers to any more must be freed, and Check must find no problem.
 func TestTree(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -37,26 +37,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.db.NoSync = true // crashes are cut elsewhere; this is about what the tree is
+		c.db.NoSync = true // crash safety is tested elsewhere; this test is about the tree
 		defer func() { c.Close() }()
-		tree := map[string]int64{"/": -1} // path: place of its object; below zero: a folder
+		tree := map[string]int64{"/": -1} // path to offset of the file's object; negative for a folder
 		live := map[int64]bool{}
-		next := int64(0)
+		nextOffset := int64(0)
 		names := []string{"/a", "/b", "/a/a", "/a/b", "/a/b/c", "/b/x", "/a/b/c/d"}
 		parent := func(p string) string { return p[:max(strings.LastIndexByte(p, '/'), 1)] }
-		hasParent := func(p string) bool { at, ok := tree[parent(p)]; return ok && at < 0 }
+		hasParent := func(p string) bool { offset, ok := tree[parent(p)]; return ok && offset < 0 }
 		under := func(p, root string) bool { return p == root || strings.HasPrefix(p, strings.TrimSuffix(root, "/")+"/") }
-		gone := func(freed []Freed) {
+		checkFreed := func(freed []Freed) {
 			for _, f := range freed {
 				for _, o := range f.Objects {
 					if !live[o.At] {
-						t.Fatalf("object at %d is freed and was not there", o.At)
+						t.Fatalf("the object at %d was freed but is not in use", o.At)
 					}
 					delete(live, o.At)
 				}
 			}
 		}
-		drop := func(root string) {
+		removeTree := func(root string) {
 			for p := range tree {
 				if under(p, root) {
 					delete(tree, p)
@@ -68,16 +68,16 @@
 			at, exists := tree[p]
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
-				next += 10
-				_, created, freed, err := c.Put(p, "", 7, []Object{{next, 7}}, always)
+				nextOffset += 10
+				_, created, freed, err := c.Put(p, "", 7, []Object{{nextOffset, 7}}, acceptAny)
 				ok := hasParent(p) && !(exists && at < 0)
 				if (err == nil) != ok || ok && created == exists {
 					t.Fatalf("put %s: created %v, %v; tree %v", p, created, err, tree)
 				}
 				if ok {
-					tree[p], live[next] = next, true
+					tree[p], live[nextOffset] = nextOffset, true
 				}
-				gone(freed)
+				checkFreed(freed)
 			case 2:
 				if err := c.Mkdir(p); (err == nil) != (hasParent(p) && !exists) {
 					t.Fatalf("mkdir %s: %v", p, err)
@@ -89,8 +89,8 @@
 				if (err == nil) != exists {
 					t.Fatalf("delete %s: %v", p, err)
 				}
-				drop(p)
-				gone(freed)
+				removeTree(p)
+				checkFreed(freed)
 			case 4, 5:
 				to, over := rapid.SampledFrom(names).Draw(t, "to"), rapid.Bool().Draw(t, "overwrite")
 				_, there := tree[to]
@@ -100,7 +100,7 @@
 					t.Fatalf("move %s to %s: created %v, %v; tree %v", p, to, created, err, tree)
 				}
 				if ok {
-					drop(to)
+					removeTree(to)
 					for q, at := range tree {
 						if under(q, p) {
 							delete(tree, q)
@@ -108,17 +108,17 @@
 						}
 					}
 				}
-				gone(freed)
-			case 6: // a tree that is linked, given up, or forgotten by a crash
+				checkFreed(freed)
+			case 6: // a tree that is linked, dropped, or left over by a crash
 				tr, err := c.NewTree(Entry{Dir: true})
 				if err != nil {
 					t.Fatal(err)
 				}
-				next += 10
-				if _, err := tr.Add(tr.Root(), "f", Entry{Size: 7, Objects: []Object{{next, 7}}}); err != nil {
+				nextOffset += 10
+				if _, err := tr.Add(tr.Root(), "f", Entry{Size: 7, Objects: []Object{{nextOffset, 7}}}); err != nil {
 					t.Fatal(err)
 				}
-				live[next] = true
+				live[nextOffset] = true
 				switch rapid.IntRange(0, 2).Draw(t, "then") {
 				case 0:
 					_, freed, err := tr.Link(p, true)
@@ -126,17 +126,17 @@
 						t.Fatalf("link %s: %v", p, err)
 					}
 					if err == nil {
-						drop(p)
-						tree[p], tree[p+"/f"] = -1, next
+						removeTree(p)
+						tree[p], tree[p+"/f"] = -1, nextOffset
 					} else {
 						freed, _ = tr.Drop()
 					}
-					gone(freed)
+					checkFreed(freed)
 				case 1:
 					freed, _ := tr.Drop()
-					gone(freed)
+					checkFreed(freed)
 				default:
-					delete(live, next)
+					delete(live, nextOffset)
 					c.Close()
 					if c, err = Open(path); err != nil {
 						t.Fatal(err)
@@ -159,7 +159,7 @@
 			seen := map[int64]bool{}
 			c.Objects(func(o Object) error { seen[o.At] = true; return nil })
 			if len(seen) != len(live) {
-				t.Fatalf("%d objects are named, %d are live", len(seen), len(live))
+				t.Fatalf("%d objects in the catalogue, want %d", len(seen), len(live))
 			}
 		}
 		problems, files, folders, err := c.Check()
@@ -174,17 +174,17 @@
 		path string
 		n    int
 	}{{"/", 0}, {"/a/b/", 2}, {"//a", 1}, {"", -1}, {"a", -1}, {"/a/../b", -1}, {"/.", -1}, {"/a\x00", -1}, {"/" + strings.Repeat("x", 256), -1},
-		{"/ü/日本", 2}, {strings.Repeat("/a", MostDepth+1), -1}} {
+		{"/ü/日本", 2}, {strings.Repeat("/a", MaxDepth+1), -1}} {
 		if got, err := Split(x.path); (err == nil) != (x.n >= 0) || len(got) != max(x.n, 0) {
 			t.Errorf("%.20q: %d names, %v", x.path, len(got), err)
 		}
 	}
 }
 
-// A deep tree, a full folder, properties and locks, over a restart.
+// A deep tree, a large folder, properties and locks must survive a restart.
 func TestLargeAndKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c")
-	c := open(t, path)
+	c := openCatalogue(t, path)
 	c.db.NoSync = true
 	deep := ""
 	for range 1000 {
@@ -197,7 +197,7 @@
 		t.Fatal(err)
 	}
 	for i := range 3000 {
-		if _, _, _, err := c.Put(fmt.Sprintf("/full/%05d", i), "text/plain", 0, nil, always); err != nil {
+		if _, _, _, err := c.Put(fmt.Sprintf("/full/%05d", i), "text/plain", 0, nil, acceptAny); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -207,8 +207,8 @@
 	if err := c.SetProps("/full", []Prop{{"u:", "a", "2"}}, []Prop{{Space: "u:", Name: "b"}, {Space: "u:", Name: "none"}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.SetProps("/full", []Prop{{"u:", "c", strings.Repeat("x", MostProps)}}, nil); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too large a property: %v", err)
+	if err := c.SetProps("/full", []Prop{{"u:", "c", strings.Repeat("x", MaxPropBytes)}}, nil); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("property over the size limit: %v", err)
 	}
 	grant := func(token, root string) error {
 		_, err := c.ChangeLocks(func(now int64, tb *locks.Table) (*locks.Lock, []string, error) {
@@ -226,7 +226,7 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	c = open(t, path)
+	c = openCatalogue(t, path)
 	defer c.Close()
 	e, err := c.Get("/full")
 	if err != nil || len(e.Props) != 1 || e.Props[0].XML != "2" {
@@ -250,10 +250,10 @@
 		}
 	}
 	if n != 3000 {
-		t.Errorf("%d names", n)
+		t.Errorf("listed %d names, want 3000", n)
 	}
 	if grant("t3", "/full") == nil || grant("t4", "/d") != nil {
-		t.Error("locks did not outlast the restart")
+		t.Error("a lock did not survive the restart, or an unlocked one did")
 	}
 	if _, err := c.Get(deep); err != nil {
 		t.Error(err)
@@ -266,7 +266,8 @@
 	}
 }
 
-// Whatever is taken out of a catalogue or put in at random, repair makes it sound, and what was sound stays reachable.
+// After random deletions, damage and additions in the database, Repair must leave a catalogue in which Check finds no
+// problem, a second Repair changes nothing, and the root exists. A consistent catalogue must not be changed.
 func TestRepair(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -282,17 +283,17 @@
 			if err := c.Mkdir(p); err != nil {
 				t.Fatal(err)
 			}
-			if _, _, _, err := c.Put(p+"/f", "", 7, []Object{{int64(i * 10), 7}}, always); err != nil {
+			if _, _, _, err := c.Put(p+"/f", "", 7, []Object{{int64(i * 10), 7}}, acceptAny); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if done, err := c.Repair(); err != nil || len(done) > 0 {
-			t.Fatalf("a sound one was repaired: %v, %v", done, err)
+			t.Fatalf("a consistent catalogue was changed: %v, %v", done, err)
 		}
 		hurt := rapid.IntRange(1, 4).Draw(t, "hurts")
 		if err := c.db.Update(func(tx *bolt.Tx) error {
 			for range hurt {
-				b := tx.Bucket([][]byte{bNames, bEntries}[rapid.IntRange(0, 1).Draw(t, "bucket")])
+				b := tx.Bucket([][]byte{namesBucket, entriesBucket}[rapid.IntRange(0, 1).Draw(t, "bucket")])
 				var keys [][]byte
 				b.ForEach(func(k, _ []byte) error { keys = append(keys, slices.Clone(k)); return nil })
 				if len(keys) == 0 {
@@ -322,7 +323,7 @@
 			t.Fatalf("after repair: %v, %v", problems, err)
 		}
 		if again, err := c.Repair(); err != nil || len(again) > 0 {
-			t.Fatalf("a second repair did more: %v, %v", again, err)
+			t.Fatalf("a second repair made changes: %v, %v", again, err)
 		}
 		if _, err := c.Get("/"); err != nil {
 			t.Fatal(err)
