--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -770,19 +770,17 @@
 				return err
 			}
 		}
-		type objectUse struct {
+		type ref struct {
 			Object
 			e *Entry
 		}
-		var uses []objectUse
+		var uses []ref
 		for _, e := range valid {
 			for _, o := range e.Objects {
-				uses = append(uses, objectUse{o, e})
+				uses = append(uses, ref{o, e})
 			}
 		}
-		slices.SortFunc(uses, func(a, b objectUse) int {
-			return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.e.Version, b.e.Version))
-		})
+		slices.SortFunc(uses, func(a, b ref) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.e.Version, b.e.Version)) })
 		for i := 1; i < len(uses); i++ {
 			a, b := uses[i-1], uses[i]
 			if a.At+a.Len <= b.At || valid[a.e.ID] == nil || valid[b.e.ID] == nil || a.e == b.e {
