--- a/internal/front/dav/certificates.go
+++ b/internal/front/dav/certificates.go
@@ -12,34 +12,36 @@
 	"go.uber.org/zap"
 )
 
-// certificates is a key and its certificate, which may change in service. They are taken whole or not at all: where the
-// new ones do not fit together, are expired or cannot be read, the old ones stay. Connections go on as they are.
+// certificates holds a TLS certificate and its key, which are reloaded when their files change. Both are replaced
+// together or not at all: if the new files do not match, are expired or cannot be read, the previous pair stays in use.
+// Open connections are not affected.
 type certificates struct {
 	cert, key string
-	now       atomic.Pointer[tls.Certificate]
-	seen      [2]time.Time
+	pair      atomic.Pointer[tls.Certificate]
+	modTimes  [2]time.Time
 }
 
-func watchCertificates(cert, key string) (*certificates, error) {
+// loadCertificates loads the files and returns an error if they cannot be used.
+func loadCertificates(cert, key string) (*certificates, error) {
 	c := &certificates{cert: cert, key: key}
-	_, err := c.load()
+	_, err := c.reload()
 	return c, err
 }
 
-// load takes the files where they have changed.
-func (c *certificates) load() (changed bool, err error) {
-	var at [2]time.Time
+// reload loads the files if their modification times have changed.
+func (c *certificates) reload() (changed bool, err error) {
+	var modTimes [2]time.Time
 	for i, f := range []string{c.cert, c.key} {
 		st, err := os.Stat(f)
 		if err != nil {
 			return false, fmt.Errorf("dav: certificate: %w", err)
 		}
-		at[i] = st.ModTime()
+		modTimes[i] = st.ModTime()
 	}
-	if at == c.seen {
+	if modTimes == c.modTimes {
 		return false, nil
 	}
-	pair, err := tls.LoadX509KeyPair(c.cert, c.key) // also finds a key that is not the certificate's
+	pair, err := tls.LoadX509KeyPair(c.cert, c.key) // fails too if the key does not match the certificate
 	if err != nil {
 		return false, fmt.Errorf("dav: certificate %s: %w", c.cert, err)
 	}
@@ -50,31 +52,32 @@
 	if now := time.Now(); now.After(leaf.NotAfter) || now.Before(leaf.NotBefore) {
 		return false, fmt.Errorf("dav: certificate %s is valid from %v to %v only", c.cert, leaf.NotBefore, leaf.NotAfter)
 	}
-	c.now.Store(&pair)
-	c.seen = at
+	c.pair.Store(&pair)
+	c.modTimes = modTimes
 	return true, nil
 }
 
-func (c *certificates) get(*tls.ClientHelloInfo) (*tls.Certificate, error) { return c.now.Load(), nil }
+// get returns the current certificate; it is the GetCertificate callback of a [tls.Config].
+func (c *certificates) get(*tls.ClientHelloInfo) (*tls.Certificate, error) { return c.pair.Load(), nil }
 
-// watch looks for new ones until ctx ends.
+// watch checks the files for changes every second until ctx ends. It logs each distinct error once.
 func (c *certificates) watch(ctx context.Context, log *zap.Logger) {
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
-	last := ""
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	lastError := ""
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		switch changed, err := c.load(); {
-		case err != nil && err.Error() != last:
-			last = err.Error()
-			log.Warn("the new certificate is not taken; the old one stays", zap.Error(err))
+		switch changed, err := c.reload(); {
+		case err != nil && err.Error() != lastError:
+			lastError = err.Error()
+			log.Warn("the new certificate cannot be used; the previous one stays in use", zap.Error(err))
 		case err == nil:
-			if last = ""; changed {
-				log.Info("new certificate", zap.String("file", c.cert))
+			if lastError = ""; changed {
+				log.Info("certificate reloaded", zap.String("file", c.cert))
 			}
 		}
 	}
--- a/internal/front/dav/io.go
+++ b/internal/front/dav/io.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// objectBytes is the most an object holds of a file; also what a PUT holds of the client's data at a time, twice.
+	// objectBytes is the maximum size of an object. A PUT buffers twice this much of the client's data at a time.
 	objectBytes = 256 << 10
-	// readBytes is what is read at a time for a GET, which holds that twice.
-	readBytes = 128 << 10
+	// chunkBytes is the amount read at a time for a GET. A GET buffers up to two chunks.
+	chunkBytes = 128 << 10
 )
 
-// Backend is the engine, as files need it.
+// Backend is the part of the engine that this package uses.
 type Backend interface {
 	Take(op *engine.Op)
 	Gone(op *engine.Op)
@@ -29,62 +29,63 @@
 	Space(volume int) (free, used int64)
 }
 
-// OpError is an op that was not served.
+// OpError reports an op that the engine did not serve.
 type OpError struct {
 	Verdict  block.Verdict
 	CoolDown logic.Micros
-	NoRoom   bool
+	NoSpace  bool
 	Limited  bool
 }
 
 func (e *OpError) Error() string {
-	if e.NoRoom {
-		return "dav: no room for the object"
+	if e.NoSpace {
+		return "dav: no space for the object"
 	}
-	return fmt.Sprintf("dav: the nodes' answer is %v", e.Verdict)
+	return fmt.Sprintf("dav: the op ended with verdict %v", e.Verdict)
 }
 
-// call is an op on its way. It implements [engine.Front].
-type call struct {
+// pendingOp is an op that was submitted to the engine. It implements [engine.Front].
+type pendingOp struct {
 	op   *engine.Op
 	done chan struct{}
 
-	mu             sync.Mutex
-	answered, gone bool
+	mu                  sync.Mutex
+	answered, abandoned bool
 }
 
 // Done implements [engine.Front].
-func (c *call) Done(*engine.Op) {
+func (c *pendingOp) Done(*engine.Op) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.gone {
+	if !c.abandoned {
 		c.answered = true
 		close(c.done)
 	}
 }
 
 // Sending implements [engine.Front].
-func (c *call) Sending(*engine.Op, logic.NodeID) {}
+func (c *pendingOp) Sending(*engine.Op, logic.NodeID) {}
 
-// start hands an op to the engine. The buffer is drawn from the volume's memory: a request waits for it, and so bounds
-// itself.
-func (t *tree) start(op *engine.Op) *call {
-	c := &call{op: op, done: make(chan struct{})}
+// submit passes an op to the engine. Its buffer comes from the volume's memory, which newOp waits for: this limits the
+// ops that are outstanding.
+func (t *tree) submit(op *engine.Op) *pendingOp {
+	c := &pendingOp{op: op, done: make(chan struct{})}
 	op.Front = c
-	t.back.Take(op)
+	t.backend.Take(op)
 	return c
 }
 
-// wait gives the op's end. Where ctx ends first the request is given up; then the op may not be touched any more.
-func (c *call) wait(ctx context.Context, back Backend) error {
+// wait waits until the op is done and returns nil if it was served; the caller then releases it. If ctx ends first,
+// wait abandons the op and returns the error of ctx. After any error the op must not be used any more.
+func (c *pendingOp) wait(ctx context.Context, back Backend) error {
 	select {
 	case <-c.done:
 	case <-ctx.Done():
 		c.mu.Lock()
-		given := !c.answered
-		c.gone = given
+		abandoned := !c.answered
+		c.abandoned = abandoned
 		c.mu.Unlock()
-		if given {
+		if abandoned {
 			back.Gone(c.op)
 			return ctx.Err()
 		}
@@ -97,8 +98,9 @@
 	return nil
 }
 
+// newOp returns an op with a buffer of n bytes. It waits until the volume's memory has them or ctx ends.
 func (t *tree) newOp(ctx context.Context, k block.Kind, n int64) (*engine.Op, error) {
-	release, err := t.back.Acquire(ctx, t.volume, n)
+	release, err := t.backend.Acquire(ctx, t.volume, n)
 	if err != nil {
 		return nil, err
 	}
@@ -108,89 +110,91 @@
 	return op, nil
 }
 
-// sectors is a length rounded up to what a node reads and writes.
-func (t *tree) sectors(n int64) int64 { return (n + t.block - 1) / t.block * t.block }
+// roundUp rounds a length up to a multiple of the volume's block size, the unit of reads and writes.
+func (t *tree) roundUp(n int64) int64 { return (n + t.blockSize - 1) / t.blockSize * t.blockSize }
 
 // ---- reading ----
 
-// reader reads a file's bytes; it is an [io.ReadSeeker]. What it reads stays until it is closed, whatever becomes of the
-// name. It reads one piece ahead. A piece is copied out of the volume's memory as soon as it is there: a client that takes
-// its time holds its own two pieces and nothing that others wait for.
+// reader reads the content of a file and implements [io.ReadSeeker]. The objects stay allocated until Close, even if
+// the file is deleted or replaced. It reads one chunk ahead. Each chunk is copied out of the volume's memory on
+// arrival, so that a slow client occupies two chunk buffers and none of the memory that other requests wait for.
 type reader struct {
-	ctx  context.Context
-	t    *tree
-	e    *catalogue.Entry
-	at   int64
-	cur  []byte // what is left of the piece at hand
-	have *piece
-	next *piece
-	err  error
+	ctx     context.Context
+	tree    *tree
+	entry   *catalogue.Entry
+	offset  int64
+	unread  []byte // unread part of the current chunk
+	current *chunk
+	ahead   *chunk
+	err     error
 }
 
-// piece is a part of a file, there once done is closed.
-type piece struct {
-	from int64 // byte of the file
-	buf  *[readBytes]byte
-	data []byte
-	err  error
-	done chan struct{}
+// chunk is a part of a file. Its data and err are valid once done is closed.
+type chunk struct {
+	offset int64 // in the file
+	buf    *[chunkBytes]byte
+	data   []byte
+	err    error
+	done   chan struct{}
 }
 
-var pieceBuffers = sync.Pool{New: func() any { return new([readBytes]byte) }}
+var chunkBuffers = sync.Pool{New: func() any { return new([chunkBytes]byte) }}
 
-// begin starts to read the piece that begins at a byte of the file. Its goroutine ends with the op, at the latest when
-// ctx does.
-func (r *reader) begin(from int64) *piece {
-	p := &piece{from: from, done: make(chan struct{})}
+// startChunk starts reading the chunk at an offset of the file. Its goroutine ends when the op is done, or when ctx
+// ends.
+func (r *reader) startChunk(from int64) *chunk {
+	p := &chunk{offset: from, done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
-		p.err = r.fetch(p)
+		p.err = r.fetchChunk(p)
 	}()
 	return p
 }
 
-func (r *reader) fetch(p *piece) error {
-	off := p.from
-	for _, o := range r.e.Objects {
-		if off >= o.Len {
-			off -= o.Len
+// fetchChunk reads the data of a chunk. A chunk ends at the end of an object at the latest.
+func (r *reader) fetchChunk(p *chunk) error {
+	remaining := p.offset
+	for _, o := range r.entry.Objects {
+		if remaining >= o.Len {
+			remaining -= o.Len
 			continue
 		}
-		first := off / r.t.block * r.t.block
-		skip := off - first
-		n := min(o.Len-off, readBytes-skip)
-		op, err := r.t.newOp(r.ctx, block.Read, r.t.sectors(skip+n))
+		first := remaining / r.tree.blockSize * r.tree.blockSize
+		skip := remaining - first
+		n := min(o.Len-remaining, chunkBytes-skip)
+		op, err := r.tree.newOp(r.ctx, block.Read, r.tree.roundUp(skip+n))
 		if err != nil {
 			return err
 		}
 		op.Offset = o.At + first
-		if err := r.t.start(op).wait(r.ctx, r.t.back); err != nil {
+		if err := r.tree.submit(op).wait(r.ctx, r.tree.backend); err != nil {
 			return err
 		}
-		p.buf = pieceBuffers.Get().(*[readBytes]byte)
+		p.buf = chunkBuffers.Get().(*[chunkBytes]byte)
 		op.Each(func(at int64, data []byte) { copy(p.buf[at:], data) })
 		op.Release()
 		p.data = p.buf[skip : skip+n]
 		return nil
 	}
-	return io.ErrUnexpectedEOF // the entry says that there is more
+	return io.ErrUnexpectedEOF // the objects are shorter than the size of the entry
 }
 
-// drop waits for a piece and gives its buffer back.
-func (p *piece) drop() {
+// release waits until a chunk is read and returns its buffer to the pool.
+func (p *chunk) release() {
 	if p == nil {
 		return
 	}
 	<-p.done
 	if p.buf != nil {
-		pieceBuffers.Put(p.buf)
+		chunkBuffers.Put(p.buf)
 		p.buf, p.data = nil, nil
 	}
 }
 
-func (r *reader) drop() {
-	r.have.drop()
-	r.have, r.cur = nil, nil
+// releaseCurrent releases the current chunk.
+func (r *reader) releaseCurrent() {
+	r.current.release()
+	r.current, r.unread = nil, nil
 }
 
 // Read implements [io.Reader].
@@ -198,30 +202,30 @@
 	if r.err != nil {
 		return 0, r.err
 	}
-	if len(r.cur) == 0 {
-		r.drop()
-		if r.at >= r.e.Size {
+	if len(r.unread) == 0 {
+		r.releaseCurrent()
+		if r.offset >= r.entry.Size {
 			return 0, io.EOF
 		}
-		p := r.next
-		if r.next = nil; p != nil && p.from != r.at {
-			p.drop()
+		p := r.ahead
+		if r.ahead = nil; p != nil && p.offset != r.offset {
+			p.release()
 			p = nil
 		}
 		if p == nil {
-			p = r.begin(r.at)
+			p = r.startChunk(r.offset)
 		}
 		<-p.done
-		if r.have, r.err = p, p.err; r.err != nil {
+		if r.current, r.err = p, p.err; r.err != nil {
 			return 0, r.err
 		}
-		r.cur = p.data
-		if end := r.at + int64(len(r.cur)); end < r.e.Size {
-			r.next = r.begin(end)
+		r.unread = p.data
+		if end := r.offset + int64(len(r.unread)); end < r.entry.Size {
+			r.ahead = r.startChunk(end)
 		}
 	}
-	n := copy(b, r.cur)
-	r.cur, r.at = r.cur[n:], r.at+int64(n)
+	n := copy(b, r.unread)
+	r.unread, r.offset = r.unread[n:], r.offset+int64(n)
 	return n, nil
 }
 
@@ -229,88 +233,89 @@
 func (r *reader) Seek(offset int64, whence int) (int64, error) {
 	switch whence {
 	case io.SeekCurrent:
-		offset += r.at
+		offset += r.offset
 	case io.SeekEnd:
-		offset += r.e.Size
+		offset += r.entry.Size
 	}
 	if offset < 0 {
 		return 0, errors.New("dav: seek before the beginning")
 	}
-	if offset != r.at {
-		r.drop()
+	if offset != r.offset {
+		r.releaseCurrent()
 	}
-	r.at = offset
+	r.offset = offset
 	return offset, nil
 }
 
-// Close lets go of the file; ctx must have ended, or what is read ahead is waited for.
+// Close releases the file and the buffers. Unless ctx has ended, it waits for the chunk that is read ahead.
 func (r *reader) Close() {
-	r.drop()
-	r.next.drop()
-	r.t.let(r.e)
+	r.releaseCurrent()
+	r.ahead.release()
+	r.tree.release(r.entry)
 }
 
 // ---- writing ----
 
-// write brings a body to the nodes as new objects, two on their way at a time. Without error all are on stable storage.
-// With one none is left.
-func (t *tree) write(ctx context.Context, body io.Reader, want int64, got func()) (objects []catalogue.Object, size int64, err error) {
-	type out struct {
-		call *call
+// write writes a body to new objects on the nodes, with up to two writes in flight. length is the expected size,
+// negative if unknown; onRead is called after each read of the body. On success all objects are on stable storage; on
+// an error none remains.
+func (t *tree) write(ctx context.Context, body io.Reader, length int64, onRead func()) (objects []catalogue.Object, size int64, err error) {
+	type pendingWrite struct {
+		call *pendingOp
 		len  int64
 	}
-	var waiting []out
-	finish := func() error {
-		w := waiting[0]
-		waiting = waiting[1:]
-		if err := w.call.wait(ctx, t.back); err != nil {
+	var pending []pendingWrite
+	awaitFirst := func() error {
+		first := pending[0]
+		pending = pending[1:]
+		if err := first.call.wait(ctx, t.backend); err != nil {
 			return err
 		}
-		objects = append(objects, catalogue.Object{At: w.call.op.Offset, Len: w.len})
-		w.call.op.Release()
+		objects = append(objects, catalogue.Object{At: first.call.op.Offset, Len: first.len})
+		first.call.op.Release()
 		return nil
 	}
-	data := make([]byte, min(objectBytes, max(want, 1)))
-	if want < 0 {
+	data := make([]byte, min(objectBytes, max(length, 1)))
+	if length < 0 {
 		data = make([]byte, objectBytes)
 	}
 	for err == nil {
-		n, rerr := io.ReadFull(body, data)
-		got()
+		n, readErr := io.ReadFull(body, data)
+		onRead()
 		if n > 0 {
 			size += int64(n)
 			var op *engine.Op
-			if op, err = t.newOp(ctx, block.Write, t.sectors(int64(n))); err != nil {
+			if op, err = t.newOp(ctx, block.Write, t.roundUp(int64(n))); err != nil {
 				break
 			}
 			clear(op.Buffer.B[copy(op.Buffer.B, data[:n]):])
 			op.Fresh, op.Durable = true, true
-			waiting = append(waiting, out{t.start(op), int64(n)})
-			if len(waiting) > 1 {
-				err = finish()
+			pending = append(pending, pendingWrite{t.submit(op), int64(n)})
+			if len(pending) > 1 {
+				err = awaitFirst()
 			}
 		}
-		if rerr != nil {
-			if rerr != io.EOF && rerr != io.ErrUnexpectedEOF {
-				err = errors.Join(err, &bodyError{rerr})
+		if readErr != nil {
+			if readErr != io.EOF && readErr != io.ErrUnexpectedEOF {
+				err = errors.Join(err, &bodyError{readErr})
 			}
 			break
 		}
 	}
-	for len(waiting) > 0 {
-		err = errors.Join(err, finish())
+	for len(pending) > 0 {
+		err = errors.Join(err, awaitFirst())
 	}
-	if err == nil && want >= 0 && size != want {
+	if err == nil && length >= 0 && size != length {
 		err = &bodyError{io.ErrUnexpectedEOF}
 	}
 	if err != nil {
-		t.free([]catalogue.Freed{{Objects: objects}})
+		t.freeObjects([]catalogue.Freed{{Objects: objects}})
 		return nil, 0, err
 	}
 	return objects, size, nil
 }
 
-// bodyError is a client that did not send what it had promised.
+// bodyError reports that a request's body could not be read or did not have the announced length.
 type bodyError struct{ err error }
 
 func (e *bodyError) Error() string { return "dav: body: " + e.err.Error() }
--- a/internal/front/dav/methods.go
+++ b/internal/front/dav/methods.go
@@ -21,41 +21,44 @@
 	"appleplank/locks"
 )
 
-// request is one on its way.
+// request is an HTTP request in progress.
 type request struct {
-	l       *listener
-	t       *tree
-	w       http.ResponseWriter
-	r       *http.Request
-	user    string
-	path    string
-	tokens  []string // locks that the client has shown
-	control *http.ResponseController
+	listener   *listener
+	tree       *tree
+	w          http.ResponseWriter
+	r          *http.Request
+	user       string
+	path       string
+	tokens     []string // lock tokens that the client submitted
+	controller *http.ResponseController
 }
 
-var methods map[string]func(*request) error
+// methodHandlers maps an HTTP method to its handler. It is set by init.
+var methodHandlers map[string]func(*request) error
 
 func init() {
-	methods = map[string]func(*request) error{
+	methodHandlers = map[string]func(*request) error{
 		"OPTIONS": (*request).options, "GET": (*request).get, "HEAD": (*request).get, "PUT": (*request).put, "DELETE": (*request).delete,
 		"MKCOL": (*request).mkcol, "COPY": (*request).copyMove, "MOVE": (*request).copyMove, "PROPFIND": (*request).propfind,
 		"PROPPATCH": (*request).proppatch, "LOCK": (*request).lock, "UNLOCK": (*request).unlock,
 	}
 }
 
-// status is an answer that is no success.
-type status struct {
+// httpErr is an error with the status code and the body of its answer.
+type httpErr struct {
 	code int
 	text string
 }
 
-func (s *status) Error() string { return s.text }
+func (s *httpErr) Error() string { return s.text }
 
-func answer(code int, format string, a ...any) error { return &status{code, fmt.Sprintf(format, a...)} }
+// failf returns an httpErr with a formatted text.
+func failf(code int, format string, a ...any) error { return &httpErr{code, fmt.Sprintf(format, a...)} }
 
-// fail maps an error to the answer that a client can act on. Refused promises that nothing was done.
-func (q *request) fail(err error) {
-	var s *status
+// writeError answers the request with the status and text for an error. An answer for [block.Refused] promises that the
+// request had no effect.
+func (q *request) writeError(err error) {
+	var s *httpErr
 	var op *OpError
 	var body *bodyError
 	code, text := http.StatusInternalServerError, "the catalogue cannot be used"
@@ -63,8 +66,8 @@
 	case errors.As(err, &s):
 		code, text = s.code, s.text
 	case errors.As(err, &body), q.r.Context().Err() != nil:
-		panic(http.ErrAbortHandler) // the client has left, or stopped in the middle of what it sends
-	case errors.As(err, &op) && op.NoRoom:
+		panic(http.ErrAbortHandler) // the client has disconnected, or its body was cut short
+	case errors.As(err, &op) && op.NoSpace:
 		code, text = http.StatusInsufficientStorage, "no node has room"
 	case errors.As(err, &op) && op.Verdict == block.Refused:
 		wait := max(1, int(math.Ceil(float64(op.CoolDown)/1e6)))
@@ -93,32 +96,35 @@
 	case errors.Is(err, locks.ErrUnknown):
 		code, text = http.StatusPreconditionFailed, err.Error()
 	default:
-		q.l.s.log.Sugar().Errorw("request failed", "method", q.r.Method, "path", q.path, "error", err)
+		q.listener.server.log.Sugar().Errorw("request failed", "method", q.r.Method, "path", q.path, "error", err)
 	}
 	http.Error(q.w, text, code)
 }
 
-// breath gives the client a while for the next piece of what it sends and takes.
-func (q *request) breath() {
-	until := time.Now().Add(patience)
-	q.control.SetReadDeadline(until)
-	q.control.SetWriteDeadline(until)
+// extendDeadlines gives the client another ioTimeout to send or receive the next part of a body.
+func (q *request) extendDeadlines() {
+	deadline := time.Now().Add(ioTimeout)
+	q.controller.SetReadDeadline(deadline)
+	q.controller.SetWriteDeadline(deadline)
 }
 
-func (q *request) allow() {
+// setAllowHeaders sets the headers that list the supported methods and WebDAV classes.
+func (q *request) setAllowHeaders() {
 	q.w.Header().Set("DAV", "1, 2")
 	q.w.Header().Set("MS-Author-Via", "DAV")
 	q.w.Header().Set("Allow", "OPTIONS, GET, HEAD, PUT, DELETE, MKCOL, COPY, MOVE, PROPFIND, PROPPATCH, LOCK, UNLOCK")
 }
 
 func (q *request) options() error {
-	q.allow()
+	q.setAllowHeaders()
 	q.w.WriteHeader(http.StatusOK)
 	return nil
 }
 
+// etag returns the entity tag of an entry's content.
 func etag(e *catalogue.Entry) string { return fmt.Sprintf(`"%x-%x"`, e.ID, e.Version) }
 
+// contentType returns the stored content type of an entry, or one derived from the extension of its name.
 func contentType(name string, e *catalogue.Entry) string {
 	if e.Type != "" {
 		return e.Type
@@ -131,42 +137,44 @@
 
 // ---- conditions ----
 
-// preconditions checks the If header, which also shows the locks' tokens, and RFC 9110's conditions for a change.
-func (q *request) preconditions() error {
+// checkPreconditions evaluates the If header, collects the lock tokens that it submits, and checks the conditional
+// headers of RFC 9110 for a change.
+func (q *request) checkPreconditions() error {
 	if h := q.r.Header.Get("If"); h != "" {
-		lists, err := parseIf(h)
+		lists, err := parseIfHeader(h)
 		if err != nil {
-			return answer(http.StatusBadRequest, "%v", err)
+			return failf(http.StatusBadRequest, "%v", err)
 		}
-		any := false
+		anyHolds := false
 		for _, l := range lists {
-			holds, err := q.holds(l)
+			holds, err := q.evaluateIfList(l)
 			if err != nil {
 				return err
 			}
-			any = any || holds
+			anyHolds = anyHolds || holds
 			for _, c := range l.conditions {
-				if c.token != "" && !c.not {
+				if c.token != "" && !c.negated {
 					q.tokens = append(q.tokens, c.token)
 				}
 			}
 		}
-		if !any {
-			return answer(http.StatusPreconditionFailed, "no list of the If header holds")
+		if !anyHolds {
+			return failf(http.StatusPreconditionFailed, "no list of the If header holds")
 		}
 	}
-	e, err := q.t.cat.Get(q.path)
+	e, err := q.tree.cat.Get(q.path)
 	if errors.Is(err, catalogue.ErrNotFound) {
 		e, err = nil, nil
 	}
 	if err != nil {
 		return err
 	}
-	return q.matches(e)
+	return q.checkConditionalHeaders(e)
 }
 
-// matches checks If-Match, If-None-Match and If-Unmodified-Since against what a name means; nil: nothing.
-func (q *request) matches(e *catalogue.Entry) error {
+// checkConditionalHeaders checks If-Match, If-None-Match and If-Unmodified-Since against an entry; e is nil if the name
+// does not exist.
+func (q *request) checkConditionalHeaders(e *catalogue.Entry) error {
 	has := func(header string, weak bool) bool {
 		for _, t := range strings.Split(header, ",") {
 			t = strings.TrimSpace(t)
@@ -177,60 +185,61 @@
 		return false
 	}
 	if h := q.r.Header.Get("If-Match"); h != "" && !has(h, false) {
-		return answer(http.StatusPreconditionFailed, "If-Match does not hold")
+		return failf(http.StatusPreconditionFailed, "If-Match does not hold")
 	}
 	if h := q.r.Header.Get("If-None-Match"); h != "" && has(h, true) {
-		return answer(http.StatusPreconditionFailed, "If-None-Match does not hold")
+		return failf(http.StatusPreconditionFailed, "If-None-Match does not hold")
 	}
 	if h := q.r.Header.Get("If-Unmodified-Since"); h != "" && q.r.Header.Get("If-Match") == "" && e != nil {
 		if t, err := http.ParseTime(h); err == nil && time.Unix(0, e.Modified).Truncate(time.Second).After(t) {
-			return answer(http.StatusPreconditionFailed, "modified since")
+			return failf(http.StatusPreconditionFailed, "modified since")
 		}
 	}
 	return nil
 }
 
-// holds tells whether all conditions of a list do.
-func (q *request) holds(l ifList) (bool, error) {
+// evaluateIfList reports whether all conditions of a list hold. A list for a resource of another tree does not hold.
+func (q *request) evaluateIfList(l ifList) (bool, error) {
 	name := q.path
 	if l.resource != "" {
 		u, err := url.Parse(l.resource)
 		if err != nil {
-			return false, answer(http.StatusBadRequest, "%v", errIf)
+			return false, failf(http.StatusBadRequest, "%v", errIfHeader)
 		}
-		t, rest, ok := q.l.find(u.Path)
-		if !ok || t != q.t {
+		t, rest, ok := q.listener.findTree(u.Path)
+		if !ok || t != q.tree {
 			return false, nil
 		}
 		name = rest
 	}
-	name = clean(name)
+	name = cleanPath(name)
 	for _, c := range l.conditions {
-		is := false
+		holds := false
 		if c.token != "" {
-			q.t.cat.Locks(func(now int64, t *locks.Table) { is = t.Holds(now, name, c.token) })
+			q.tree.cat.Locks(func(now int64, t *locks.Table) { holds = t.Holds(now, name, c.token) })
 		} else {
-			e, err := q.t.cat.Get(name)
+			e, err := q.tree.cat.Get(name)
 			if err != nil && !errors.Is(err, catalogue.ErrNotFound) {
 				return false, err
 			}
-			is = err == nil && !e.Dir && etag(e) == c.etag
+			holds = err == nil && !e.Dir && etag(e) == c.etag
 		}
-		if is == c.not {
+		if holds == c.negated {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-// clean is a path as locks name it: without a slash at the end or two in a row.
-func clean(p string) string { return path.Clean("/" + p) }
+// cleanPath returns a path in the form that the lock table uses: without trailing or repeated slashes.
+func cleanPath(p string) string { return path.Clean("/" + p) }
 
-// may checks the locks on a name; where it comes or goes its folder changes too.
-func (q *request) may(name string, below, member bool) (err error) {
-	name = clean(name)
-	q.t.cat.Locks(func(now int64, t *locks.Table) {
-		if err = t.May(now, name, below, q.user, q.tokens); err == nil && member && name != "/" {
+// checkLocks checks that the user may change a name under the current locks; recursive includes everything below it.
+// changesParent is set if the name is created or deleted: this changes its folder, whose locks are checked too.
+func (q *request) checkLocks(name string, recursive, changesParent bool) (err error) {
+	name = cleanPath(name)
+	q.tree.cat.Locks(func(now int64, t *locks.Table) {
+		if err = t.May(now, name, recursive, q.user, q.tokens); err == nil && changesParent && name != "/" {
 			err = t.May(now, path.Dir(name), false, q.user, q.tokens)
 		}
 	})
@@ -239,49 +248,54 @@
 
 // ---- reading ----
 
-// lazy keeps the header back until the first bytes of the body are there, so that a first read that fails can still be
-// answered as what it is. After that the connection is broken.
-type lazy struct {
+// deferredHeaderWriter holds back the header until the first bytes of the body are available, so that a failure of the
+// first read can still be answered with its own status. After a later failure the connection is aborted.
+type deferredHeaderWriter struct {
 	http.ResponseWriter
-	q     *request
-	code  int
-	wrote bool
+	request     *request
+	code        int
+	wroteHeader bool
 }
 
-func (w *lazy) WriteHeader(code int) { w.code = code }
-func (w *lazy) Write(b []byte) (int, error) {
-	w.flush()
-	w.q.breath()
+// WriteHeader implements [http.ResponseWriter].
+func (w *deferredHeaderWriter) WriteHeader(code int) { w.code = code }
+
+// Write implements [http.ResponseWriter].
+func (w *deferredHeaderWriter) Write(b []byte) (int, error) {
+	w.flushHeader()
+	w.request.extendDeadlines()
 	return w.ResponseWriter.Write(b)
 }
-func (w *lazy) flush() {
-	if !w.wrote {
-		w.wrote = true
+
+// flushHeader writes the header unless it is already written.
+func (w *deferredHeaderWriter) flushHeader() {
+	if !w.wroteHeader {
+		w.wroteHeader = true
 		w.ResponseWriter.WriteHeader(max(w.code, http.StatusOK))
 	}
 }
 
 func (q *request) get() error {
-	e, err := q.t.open(q.path)
+	e, err := q.tree.open(q.path)
 	if err != nil {
 		return err
 	}
 	if e.Dir {
-		q.t.let(e)
-		q.allow()
-		return answer(http.StatusMethodNotAllowed, "it is a folder; PROPFIND lists it")
+		q.tree.release(e)
+		q.setAllowHeaders()
+		return failf(http.StatusMethodNotAllowed, "it is a folder; PROPFIND lists it")
 	}
 	ctx, cancel := context.WithCancel(q.r.Context())
-	r := &reader{ctx: ctx, t: q.t, e: e}
+	r := &reader{ctx: ctx, tree: q.tree, entry: e}
 	defer r.Close()
 	defer cancel()
 	h := q.w.Header()
 	h.Set("ETag", etag(e))
 	h.Set("Content-Type", contentType(q.path, e))
-	w := &lazy{ResponseWriter: q.w, q: q}
+	w := &deferredHeaderWriter{ResponseWriter: q.w, request: q}
 	http.ServeContent(w, q.r, "", time.Unix(0, e.Modified), r)
 	if r.err != nil {
-		if w.wrote { // too late to say so
+		if w.wroteHeader { // the status is already sent
 			panic(http.ErrAbortHandler)
 		}
 		for _, k := range []string{"Content-Length", "Content-Range", "Content-Type", "ETag", "Last-Modified", "Accept-Ranges"} {
@@ -289,7 +303,7 @@
 		}
 		return r.err
 	}
-	w.flush()
+	w.flushHeader()
 	return nil
 }
 
@@ -297,49 +311,49 @@
 
 func (q *request) put() error {
 	if q.r.Header.Get("Content-Range") != "" {
-		return answer(http.StatusBadRequest, "a part cannot be put")
+		return failf(http.StatusBadRequest, "a part cannot be put")
 	}
-	if err := q.preconditions(); err != nil {
+	if err := q.checkPreconditions(); err != nil {
 		return err
 	}
-	if err := q.may(q.path, false, false); err != nil {
+	if err := q.checkLocks(q.path, false, false); err != nil {
 		return err
 	}
-	// What can be told before the body is sent.
-	e, err := q.t.cat.Get(q.path)
+	// Reports what is already known to fail before the body is read.
+	e, err := q.tree.cat.Get(q.path)
 	switch {
 	case err == nil && e.Dir || strings.HasSuffix(q.path, "/"):
 		return catalogue.ErrIsDir
 	case errors.Is(err, catalogue.ErrNotFound):
-		if p, perr := q.t.cat.Get(path.Dir(clean(q.path))); perr != nil || !p.Dir {
+		if p, parentErr := q.tree.cat.Get(path.Dir(cleanPath(q.path))); parentErr != nil || !p.Dir {
 			return catalogue.ErrNoParent
 		}
-		if err := q.may(q.path, false, true); err != nil {
+		if err := q.checkLocks(q.path, false, true); err != nil {
 			return err
 		}
 	case err != nil:
 		return err
 	}
-	if free, _ := q.t.back.Space(q.t.volume); q.r.ContentLength > free {
-		return answer(http.StatusInsufficientStorage, "%d bytes are free", free)
+	if free, _ := q.tree.backend.Space(q.tree.volume); q.r.ContentLength > free {
+		return failf(http.StatusInsufficientStorage, "%d bytes are free", free)
 	}
-	objects, size, err := q.t.write(q.r.Context(), q.r.Body, q.r.ContentLength, q.breath)
+	objects, size, err := q.tree.write(q.r.Context(), q.r.Body, q.r.ContentLength, q.extendDeadlines)
 	if err != nil {
 		return err
 	}
-	got, created, freed, err := q.t.cat.Put(q.path, q.r.Header.Get("Content-Type"), size, objects, q.matches)
+	got, created, freed, err := q.tree.cat.Put(q.path, q.r.Header.Get("Content-Type"), size, objects, q.checkConditionalHeaders)
 	if err != nil {
-		q.t.free([]catalogue.Freed{{Objects: objects}})
+		q.tree.freeObjects([]catalogue.Freed{{Objects: objects}})
 		return err
 	}
-	q.t.free(freed)
+	q.tree.freeObjects(freed)
 	q.w.Header().Set("ETag", etag(got))
-	q.done(created)
+	q.writeChangeStatus(created)
 	return nil
 }
 
-// done answers a change: 201 where the name is new.
-func (q *request) done(created bool) {
+// writeChangeStatus answers a change with 201 if it created the name, otherwise with 204.
+func (q *request) writeChangeStatus(created bool) {
 	if created {
 		q.w.WriteHeader(http.StatusCreated)
 	} else {
@@ -347,28 +361,28 @@
 	}
 }
 
-// noBody refuses a body where none has a meaning.
-func (q *request) noBody() error {
+// rejectBody returns an error if the request has a body. It is for methods that define none.
+func (q *request) rejectBody() error {
 	if n, _ := io.CopyN(io.Discard, q.r.Body, 1); n > 0 {
-		return answer(http.StatusUnsupportedMediaType, "a body has no meaning here")
+		return failf(http.StatusUnsupportedMediaType, "a body has no meaning here")
 	}
 	return nil
 }
 
 func (q *request) mkcol() error {
-	if err := q.noBody(); err != nil {
+	if err := q.rejectBody(); err != nil {
 		return err
 	}
-	if err := q.preconditions(); err != nil {
+	if err := q.checkPreconditions(); err != nil {
 		return err
 	}
-	if err := q.may(q.path, false, true); err != nil {
+	if err := q.checkLocks(q.path, false, true); err != nil {
 		return err
 	}
-	err := q.t.cat.Mkdir(q.path)
+	err := q.tree.cat.Mkdir(q.path)
 	if errors.Is(err, catalogue.ErrExists) {
-		q.allow()
-		return answer(http.StatusMethodNotAllowed, "the name is taken")
+		q.setAllowHeaders()
+		return failf(http.StatusMethodNotAllowed, "the name is taken")
 	}
 	if err == nil {
 		q.w.WriteHeader(http.StatusCreated)
@@ -378,43 +392,43 @@
 
 func (q *request) delete() error {
 	if d := q.r.Header.Get("Depth"); d != "" && d != "infinity" {
-		return answer(http.StatusBadRequest, "a folder goes with all that is in it")
+		return failf(http.StatusBadRequest, "a folder goes with all that is in it")
 	}
-	if err := q.preconditions(); err != nil {
+	if err := q.checkPreconditions(); err != nil {
 		return err
 	}
-	if err := q.may(q.path, true, true); err != nil {
+	if err := q.checkLocks(q.path, true, true); err != nil {
 		return err
 	}
-	freed, err := q.t.cat.Delete(q.path)
+	freed, err := q.tree.cat.Delete(q.path)
 	if err != nil {
 		return err
 	}
-	q.t.free(freed)
-	q.dropLocks(q.path)
+	q.tree.freeObjects(freed)
+	q.removeLocks(q.path)
 	q.w.WriteHeader(http.StatusNoContent)
 	return nil
 }
 
-// dropLocks takes away the locks of a name that is gone. One that cannot be is over in its time.
-func (q *request) dropLocks(name string) {
-	if _, err := q.t.cat.ChangeLocks(func(_ int64, t *locks.Table) (*locks.Lock, []string, error) { return nil, t.Drop(clean(name)), nil }); err != nil {
-		q.l.s.log.Sugar().Warnw("locks of a name that is gone", "error", err)
+// removeLocks removes the locks of a deleted name and of everything below it. If that fails, they expire.
+func (q *request) removeLocks(name string) {
+	if _, err := q.tree.cat.ChangeLocks(func(_ int64, t *locks.Table) (*locks.Lock, []string, error) { return nil, t.Drop(cleanPath(name)), nil }); err != nil {
+		q.listener.server.log.Sugar().Warnw("the locks of a deleted name cannot be removed", "error", err)
 	}
 }
 
-// destination reads the header of COPY and MOVE.
+// destination returns the path in the Destination header of a COPY or MOVE. It must lie in the same tree.
 func (q *request) destination() (string, error) {
 	u, err := url.Parse(q.r.Header.Get("Destination"))
 	if err != nil || u.Path == "" || strings.Contains(strings.ToLower(u.EscapedPath()), "%2f") {
-		return "", answer(http.StatusBadRequest, "Destination is no URL")
+		return "", failf(http.StatusBadRequest, "Destination is no URL")
 	}
 	if u.Host != "" && u.Host != q.r.Host {
-		return "", answer(http.StatusBadGateway, "Destination is on another server")
+		return "", failf(http.StatusBadGateway, "Destination is on another server")
 	}
-	t, name, ok := q.l.find(u.Path)
-	if !ok || t != q.t {
-		return "", answer(http.StatusBadGateway, "Destination is in another tree")
+	t, name, ok := q.listener.findTree(u.Path)
+	if !ok || t != q.tree {
+		return "", failf(http.StatusBadGateway, "Destination is in another tree")
 	}
 	_, err = catalogue.Split(name)
 	return name, err
@@ -431,105 +445,106 @@
 	case "F":
 		overwrite = false
 	default:
-		return answer(http.StatusBadRequest, "Overwrite is T or F")
+		return failf(http.StatusBadRequest, "Overwrite is T or F")
 	}
 	depth := q.r.Header.Get("Depth")
 	move := q.r.Method == "MOVE"
 	if depth != "" && depth != "infinity" && (depth != "0" || move) {
-		return answer(http.StatusBadRequest, "Depth %q", depth)
+		return failf(http.StatusBadRequest, "Depth %q", depth)
 	}
-	if err := q.preconditions(); err != nil {
+	if err := q.checkPreconditions(); err != nil {
 		return err
 	}
-	if clean(to) == clean(q.path) {
-		return answer(http.StatusForbidden, "source and destination are the same")
+	if cleanPath(to) == cleanPath(q.path) {
+		return failf(http.StatusForbidden, "source and destination are the same")
 	}
-	if err := q.may(to, true, true); err != nil {
+	if err := q.checkLocks(to, true, true); err != nil {
 		return err
 	}
 	var created bool
 	var freed []catalogue.Freed
 	if move {
-		if err := q.may(q.path, true, true); err != nil {
+		if err := q.checkLocks(q.path, true, true); err != nil {
 			return err
 		}
-		created, freed, err = q.t.cat.Move(q.path, to, overwrite)
+		created, freed, err = q.tree.cat.Move(q.path, to, overwrite)
 	} else {
-		created, freed, err = q.copy(to, overwrite, depth != "0")
+		created, freed, err = q.copyTree(to, overwrite, depth != "0")
 	}
 	if err != nil {
 		return err
 	}
-	q.t.free(freed)
+	q.tree.freeObjects(freed)
 	if move {
-		q.dropLocks(q.path)
+		q.removeLocks(q.path)
 	}
 	if !created {
-		q.dropLocks(to)
+		q.removeLocks(to)
 	}
-	q.done(created)
+	q.writeChangeStatus(created)
 	return nil
 }
 
-// copy makes new objects of a file's, or of all files' of a folder, out of sight, and puts the whole in its place at once.
-func (q *request) copy(to string, overwrite, deep bool) (created bool, freed []catalogue.Freed, err error) {
+// copyTree copies a file, or a folder with its contents if deep is set, to new objects. The copy stays invisible until
+// it is complete and then takes its place atomically.
+func (q *request) copyTree(to string, overwrite, deep bool) (created bool, freed []catalogue.Freed, err error) {
 	if !overwrite {
-		if _, err := q.t.cat.Get(to); err == nil {
+		if _, err := q.tree.cat.Get(to); err == nil {
 			return false, nil, catalogue.ErrExists
 		}
 	}
-	src, err := q.t.cat.Get(q.path)
+	src, err := q.tree.cat.Get(q.path)
 	if err != nil {
 		return false, nil, err
 	}
-	if src.Dir && (strings.HasPrefix(clean(to)+"/", strings.TrimSuffix(clean(q.path), "/")+"/") || strings.HasPrefix(clean(q.path)+"/", strings.TrimSuffix(clean(to), "/")+"/")) {
+	if src.Dir && (strings.HasPrefix(cleanPath(to)+"/", strings.TrimSuffix(cleanPath(q.path), "/")+"/") || strings.HasPrefix(cleanPath(q.path)+"/", strings.TrimSuffix(cleanPath(to), "/")+"/")) {
 		return false, nil, catalogue.ErrInside
 	}
-	first, err := q.duplicate(q.path, src)
+	first, err := q.copyContent(q.path, src)
 	if err != nil {
 		return false, nil, err
 	}
-	tree, err := q.t.cat.NewTree(first)
+	tree, err := q.tree.cat.NewTree(first)
 	if err != nil {
-		q.t.free([]catalogue.Freed{{Objects: first.Objects}})
+		q.tree.freeObjects([]catalogue.Freed{{Objects: first.Objects}})
 		return false, nil, err
 	}
 	defer func() {
 		if err != nil {
-			gone, derr := tree.Drop()
-			q.t.free(gone)
-			err = errors.Join(err, derr)
+			freedObjects, dropErr := tree.Drop()
+			q.tree.freeObjects(freedObjects)
+			err = errors.Join(err, dropErr)
 		}
 	}()
-	type level struct {
+	type pendingFolder struct {
 		path    string
 		id, new uint64
 	}
-	for todo := []level{{clean(q.path), src.ID, tree.Root()}}; src.Dir && deep && len(todo) > 0; {
-		at := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	for pending := []pendingFolder{{cleanPath(q.path), src.ID, tree.Root()}}; src.Dir && deep && len(pending) > 0; {
+		folder := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		for after := ""; ; {
-			list, err := q.t.cat.List(at.id, after, 256)
+			list, err := q.tree.cat.List(folder.id, after, 256)
 			if err != nil {
 				return false, nil, err
 			}
 			for _, c := range list {
-				q.breath()
-				name := path.Join(at.path, c.Name)
-				e, err := q.duplicate(name, &c.Entry)
+				q.extendDeadlines()
+				name := path.Join(folder.path, c.Name)
+				e, err := q.copyContent(name, &c.Entry)
 				if errors.Is(err, catalogue.ErrNotFound) {
-					continue // it went meanwhile
+					continue // deleted since it was listed
 				}
 				if err != nil {
 					return false, nil, err
 				}
-				id, err := tree.Add(at.new, c.Name, e)
+				id, err := tree.Add(folder.new, c.Name, e)
 				if err != nil {
-					q.t.free([]catalogue.Freed{{Objects: e.Objects}})
+					q.tree.freeObjects([]catalogue.Freed{{Objects: e.Objects}})
 					return false, nil, err
 				}
 				if c.Dir {
-					todo = append(todo, level{name, c.ID, id})
+					pending = append(pending, pendingFolder{name, c.ID, id})
 				}
 				after = c.Name
 			}
@@ -541,29 +556,31 @@
 	return tree.Link(to, overwrite)
 }
 
-// duplicate writes a file's bytes anew.
-func (q *request) duplicate(name string, e *catalogue.Entry) (catalogue.Entry, error) {
+// copyContent copies the bytes of a file to new objects and returns an entry for them. For a folder it copies no
+// content.
+func (q *request) copyContent(name string, e *catalogue.Entry) (catalogue.Entry, error) {
 	out := catalogue.Entry{Dir: e.Dir, Type: e.Type, Props: e.Props}
 	if e.Dir {
 		return out, nil
 	}
-	e, err := q.t.open(name)
+	e, err := q.tree.open(name)
 	if err != nil {
 		return out, err
 	}
 	ctx, cancel := context.WithCancel(q.r.Context())
-	r := &reader{ctx: ctx, t: q.t, e: e}
+	r := &reader{ctx: ctx, tree: q.tree, entry: e}
 	defer r.Close()
 	defer cancel()
-	out.Objects, out.Size, err = q.t.write(q.r.Context(), r, e.Size, func() {})
+	out.Objects, out.Size, err = q.tree.write(q.r.Context(), r, e.Size, func() {})
 	if r.err != nil {
-		err = r.err // and not as if the client's body were at fault
+		err = r.err // not a bodyError, which blames the client
 	}
 	return out, err
 }
 
 // ---- locks ----
 
+// newToken returns a lock token: a random UUID (version 4) as a URN.
 func newToken() string {
 	var b [16]byte
 	rand.Read(b[:])
@@ -572,8 +589,8 @@
 	return "urn:uuid:" + h[:8] + "-" + h[8:12] + "-" + h[12:16] + "-" + h[16:20] + "-" + h[20:]
 }
 
-// seconds reads a Timeout header; 0: not given.
-func seconds(h string) int64 {
+// parseTimeout returns the first usable timeout of a Timeout header in seconds, 0 if there is none.
+func parseTimeout(h string) int64 {
 	for _, t := range strings.Split(h, ",") {
 		switch t = strings.TrimSpace(t); {
 		case strings.EqualFold(t, "Infinite"):
@@ -590,18 +607,18 @@
 func (q *request) lock() error {
 	info, err := readLockInfo(q.r.Body)
 	if err != nil {
-		return answer(http.StatusBadRequest, "%v", err)
+		return failf(http.StatusBadRequest, "%v", err)
 	}
-	if err := q.preconditions(); err != nil {
+	if err := q.checkPreconditions(); err != nil {
 		return err
 	}
-	name := clean(q.path)
+	name := cleanPath(q.path)
 	if info == nil { // a refresh
 		if len(q.tokens) != 1 {
-			return answer(http.StatusBadRequest, "a refresh shows one token in its If header")
+			return failf(http.StatusBadRequest, "a refresh shows one token in its If header")
 		}
-		l, err := q.t.cat.ChangeLocks(func(now int64, t *locks.Table) (*locks.Lock, []string, error) {
-			l, err := t.Refresh(now, name, q.tokens[0], q.user, seconds(q.r.Header.Get("Timeout")))
+		l, err := q.tree.cat.ChangeLocks(func(now int64, t *locks.Table) (*locks.Lock, []string, error) {
+			l, err := t.Refresh(now, name, q.tokens[0], q.user, parseTimeout(q.r.Header.Get("Timeout")))
 			return l, nil, err
 		})
 		if err != nil {
@@ -615,35 +632,35 @@
 	case "0":
 		deep = false
 	default:
-		return answer(http.StatusBadRequest, "a lock's depth is 0 or infinity")
+		return failf(http.StatusBadRequest, "a lock's depth is 0 or infinity")
 	}
-	_, err = q.t.cat.Get(q.path)
+	_, err = q.tree.cat.Get(q.path)
 	created := errors.Is(err, catalogue.ErrNotFound)
 	if err != nil && !created {
 		return err
 	}
-	if created { // a lock on a name that is free makes an empty file
-		if err := q.may(q.path, false, true); err != nil {
+	if created { // a LOCK of an unused name creates an empty file
+		if err := q.checkLocks(q.path, false, true); err != nil {
 			return err
 		}
 	}
-	l, err := q.t.cat.ChangeLocks(func(now int64, t *locks.Table) (*locks.Lock, []string, error) {
-		l, err := t.Grant(now, locks.Lock{Token: newToken(), Root: name, Deep: deep, Shared: info.shared, Owner: info.owner, User: q.user, Length: seconds(q.r.Header.Get("Timeout"))})
+	l, err := q.tree.cat.ChangeLocks(func(now int64, t *locks.Table) (*locks.Lock, []string, error) {
+		l, err := t.Grant(now, locks.Lock{Token: newToken(), Root: name, Deep: deep, Shared: info.shared, Owner: info.owner, User: q.user, Length: parseTimeout(q.r.Header.Get("Timeout"))})
 		return l, nil, err
 	})
 	if err != nil {
 		return err
 	}
 	if created {
-		_, _, freed, err := q.t.cat.Put(q.path, "", 0, nil, func(e *catalogue.Entry) error {
+		_, _, freed, err := q.tree.cat.Put(q.path, "", 0, nil, func(e *catalogue.Entry) error {
 			if e != nil {
 				return catalogue.ErrExists
 			}
 			return nil
 		})
-		q.t.free(freed)
+		q.tree.freeObjects(freed)
 		if created = err == nil; err != nil && !errors.Is(err, catalogue.ErrExists) {
-			q.dropLocks(name)
+			q.removeLocks(name)
 			return err
 		}
 	}
@@ -658,14 +675,14 @@
 func (q *request) unlock() error {
 	token := q.r.Header.Get("Lock-Token")
 	if len(token) < 3 || token[0] != '<' || token[len(token)-1] != '>' {
-		return answer(http.StatusBadRequest, "Lock-Token names no lock")
+		return failf(http.StatusBadRequest, "Lock-Token names no lock")
 	}
 	token = token[1 : len(token)-1]
-	if _, err := q.t.cat.ChangeLocks(func(now int64, t *locks.Table) (*locks.Lock, []string, error) {
-		return nil, []string{token}, t.Unlock(now, clean(q.path), token, q.user)
+	if _, err := q.tree.cat.ChangeLocks(func(now int64, t *locks.Table) (*locks.Lock, []string, error) {
+		return nil, []string{token}, t.Unlock(now, cleanPath(q.path), token, q.user)
 	}); err != nil {
 		if errors.Is(err, locks.ErrUnknown) {
-			return answer(http.StatusConflict, "%v", err)
+			return failf(http.StatusConflict, "%v", err)
 		}
 		return err
 	}
--- a/internal/front/dav/server.go
+++ b/internal/front/dav/server.go
@@ -1,6 +1,7 @@
-// Package dav is the WebDAV front (RFC 4918, class 1 and 2): files and folders for clients that have no ring. A file's
-// bytes are objects on the nodes, written and read by the same engine as block requests; its name, properties and locks
-// are the catalogue's. It decides nothing: which locks hold is package locks', where objects go is the engine's.
+// Package dav is the WebDAV front (RFC 4918, class 1 and 2): it serves files and folders to clients that have no ring.
+// The bytes of a file are objects on the nodes, written and read by the same engine as block requests; its name,
+// properties and locks are in the catalogue. Package locks decides which locks hold, and the engine decides where
+// objects are placed.
 package dav
 
 import (
@@ -29,16 +30,17 @@
 )
 
 const (
-	// patience is how long a client may take for each piece of a body, or to take what it is sent.
-	patience = 30 * time.Second
-	// mostHeader bounds a request's headers.
-	mostHeader = 64 << 10
+	// ioTimeout is the time that a client has to send each part of a body, or to receive each part of an answer.
+	ioTimeout = 30 * time.Second
+	// maxHeaderBytes limits the size of a request's headers.
+	maxHeaderBytes = 64 << 10
 )
 
-// engineBack is the engine as the front's backend.
-type engineBack struct{ *engine.Engine }
+// engineBackend adapts the engine to Backend.
+type engineBackend struct{ *engine.Engine }
 
-func (b engineBack) Acquire(ctx context.Context, volume int, n int64) (func(int64), error) {
+// Acquire implements [Backend].
+func (b engineBackend) Acquire(ctx context.Context, volume int, n int64) (func(int64), error) {
 	m := b.Memory(volume)
 	if err := m.Acquire(ctx, n); err != nil {
 		return nil, err
@@ -46,35 +48,36 @@
 	return m.Release, nil
 }
 
-// Server is all WebDAV listeners of a gateway.
+// Server runs all WebDAV listeners of a gateway.
 type Server struct {
 	log       *zap.Logger
 	users     map[string][]byte
 	trees     []*tree
 	listeners []*listener
 
-	secret [32]byte
-	authMu sync.Mutex
-	known  map[[32]byte]time.Time // passwords that were right, until when that is believed
+	secret        [32]byte
+	authMu        sync.Mutex
+	verifiedUntil map[[32]byte]time.Time // keyed hash of a verified name and password to its expiry
 }
 
+// listener serves the trees of one listen address.
 type listener struct {
-	s     *Server
-	cfg   *settings.Dav
-	trees []*tree // longest path first
-	ln    net.Listener
-	http  *http.Server
-	certs *certificates // nil: plain
+	server *Server
+	cfg    *settings.Dav
+	trees  []*tree // longest path first
+	ln     net.Listener
+	http   *http.Server
+	certs  *certificates // nil without TLS
 }
 
-// CataloguePath is where a volume's catalogue lies.
+// CataloguePath returns the path of a volume's catalogue file.
 func CataloguePath(cfg *settings.Config, volume int) string {
 	return filepath.Join(cfg.State.Dir, "catalogue-"+cfg.Volumes[volume].Name)
 }
 
-// Listen opens catalogues and listeners, and tells the engine what its objects lie on.
+// Listen opens the catalogues and the listeners, and reserves the space of all catalogued objects in the engine.
 func Listen(cfg *settings.Config, e *engine.Engine, log *zap.Logger) (s *Server, err error) {
-	s = &Server{log: log, users: map[string][]byte{}, known: map[[32]byte]time.Time{}}
+	s = &Server{log: log, users: map[string][]byte{}, verifiedUntil: map[[32]byte]time.Time{}}
 	rand.Read(s.secret[:])
 	defer func() {
 		if err != nil {
@@ -85,15 +88,15 @@
 		s.users[u.Name] = u.Hash
 	}
 	for i := range cfg.Dav {
-		l := &listener{s: s, cfg: &cfg.Dav[i]}
+		l := &listener{server: s, cfg: &cfg.Dav[i]}
 		for _, x := range l.cfg.Trees {
-			t := &tree{prefix: strings.TrimSuffix(x.Path, "/"), volume: x.Volume, block: int64(cfg.Volumes[x.Volume].BlockSize), back: engineBack{e},
-				read: map[string]bool{}, writes: map[string]bool{}, readers: map[content]int{}, late: map[content][]catalogue.Object{}}
+			t := &tree{prefix: strings.TrimSuffix(x.Path, "/"), volume: x.Volume, blockSize: int64(cfg.Volumes[x.Volume].BlockSize), backend: engineBackend{e},
+				readUsers: map[string]bool{}, writeUsers: map[string]bool{}, readerCounts: map[contentVersion]int{}, deferredFrees: map[contentVersion][]catalogue.Object{}}
 			for _, u := range x.Read {
-				t.read[u] = true
+				t.readUsers[u] = true
 			}
 			for _, u := range x.Write {
-				t.read[u], t.writes[u] = true, true
+				t.readUsers[u], t.writeUsers[u] = true, true
 			}
 			if t.cat, err = catalogue.Open(CataloguePath(cfg, x.Volume)); err != nil {
 				return s, err
@@ -110,18 +113,18 @@
 		s.listeners = append(s.listeners, l)
 		l.ln = netutil.LimitListener(l.ln, l.cfg.Clients)
 		if l.cfg.Cert != "" {
-			if l.certs, err = watchCertificates(l.cfg.Cert, l.cfg.Key); err != nil {
+			if l.certs, err = loadCertificates(l.cfg.Cert, l.cfg.Key); err != nil {
 				return s, err
 			}
 			l.ln = tls.NewListener(l.ln, &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: l.certs.get, NextProtos: []string{"http/1.1"}})
 		}
-		l.http = &http.Server{Handler: l, ReadHeaderTimeout: patience, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: mostHeader,
+		l.http = &http.Server{Handler: l, ReadHeaderTimeout: ioTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: zap.NewStdLog(log)}
 	}
 	return s, nil
 }
 
-// Addresses are where it listens, in the order of the settings.
+// Addresses returns the addresses that the server listens on, in the order of the settings.
 func (s *Server) Addresses() (out []string) {
 	for _, l := range s.listeners {
 		out = append(out, l.ln.Addr().String())
@@ -129,8 +132,9 @@
 	return out
 }
 
-// Serve serves until ctx ends; then nothing new is taken, and what is under way may end until hard does.
-func (s *Server) Serve(ctx, hard context.Context) error {
+// Serve serves requests until ctx ends. Then it accepts no new requests, and those in progress may finish until
+// hardStop ends.
+func (s *Server) Serve(ctx, hardStop context.Context) error {
 	var wg sync.WaitGroup
 	for _, l := range s.listeners {
 		wg.Add(2)
@@ -146,7 +150,7 @@
 				l.certs.watch(ctx, s.log)
 			}
 			<-ctx.Done()
-			if l.http.Shutdown(hard) != nil {
+			if l.http.Shutdown(hardStop) != nil {
 				l.http.Close()
 			}
 		}()
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// Close closes what Serve does not: the catalogues.
+// Close closes the listening sockets and, unlike Serve, the catalogues.
 func (s *Server) Close() {
 	for _, l := range s.listeners {
 		l.ln.Close()
@@ -167,8 +171,9 @@
 	}
 }
 
-// user finds who a request is from. The hash is slow on purpose, so that what was right is believed for a minute.
-func (s *Server) user(r *http.Request) (string, bool) {
+// authenticate returns the user of a request's basic authentication. The password hash is slow on purpose, so a
+// verified password is cached for a minute.
+func (s *Server) authenticate(r *http.Request) (string, bool) {
 	name, password, ok := r.BasicAuth()
 	if !ok || len(password) > 72 {
 		return "", false
@@ -178,39 +183,39 @@
 	key := [32]byte(mac.Sum(nil))
 	now := time.Now()
 	s.authMu.Lock()
-	fresh := s.known[key].After(now)
+	verified := s.verifiedUntil[key].After(now)
 	s.authMu.Unlock()
-	if fresh {
+	if verified {
 		return name, true
 	}
-	hash, there := s.users[name]
-	if !there {
-		hash = nobody
+	hash, exists := s.users[name]
+	if !exists {
+		hash = dummyHash
 	}
-	if bcrypt.CompareHashAndPassword(hash, []byte(password)) != nil || !there {
+	if bcrypt.CompareHashAndPassword(hash, []byte(password)) != nil || !exists {
 		return "", false
 	}
 	s.authMu.Lock()
-	if len(s.known) >= 4096 {
-		clear(s.known)
+	if len(s.verifiedUntil) >= 4096 {
+		clear(s.verifiedUntil)
 	}
-	s.known[key] = now.Add(time.Minute)
+	s.verifiedUntil[key] = now.Add(time.Minute)
 	s.authMu.Unlock()
 	return name, true
 }
 
-// nobody is compared with where no user has the name, so that it takes as long.
-var nobody, _ = bcrypt.GenerateFromPassword([]byte("nobody has this"), bcrypt.DefaultCost)
+// dummyHash is compared with the password of an unknown user, so that the check takes as long as for a known one.
+var dummyHash, _ = bcrypt.GenerateFromPassword([]byte("nobody has this"), bcrypt.DefaultCost)
 
 // ServeHTTP implements [http.Handler].
 func (l *listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	user, ok := l.s.user(r)
+	user, ok := l.server.authenticate(r)
 	if !ok {
 		w.Header().Set("WWW-Authenticate", `Basic realm="appleplank", charset="UTF-8"`)
 		http.Error(w, "who are you?", http.StatusUnauthorized)
 		return
 	}
-	t, path, ok := l.find(r.URL.Path)
+	t, path, ok := l.findTree(r.URL.Path)
 	if !ok {
 		http.Error(w, "no such tree", http.StatusNotFound)
 		return
@@ -219,26 +224,26 @@
 		http.Error(w, "no such name can be", http.StatusBadRequest)
 		return
 	}
-	q := &request{l: l, t: t, w: w, r: r, user: user, path: path, control: http.NewResponseController(w)}
-	changes := !slices.Contains([]string{"OPTIONS", "GET", "HEAD", "PROPFIND"}, r.Method)
-	if !t.read[user] || changes && !t.writes[user] {
+	q := &request{listener: l, tree: t, w: w, r: r, user: user, path: path, controller: http.NewResponseController(w)}
+	modifies := !slices.Contains([]string{"OPTIONS", "GET", "HEAD", "PROPFIND"}, r.Method)
+	if !t.readUsers[user] || modifies && !t.writeUsers[user] {
 		http.Error(w, "not allowed for this user", http.StatusForbidden)
 		return
 	}
-	do := methods[r.Method]
-	if do == nil {
-		q.allow()
+	handler := methodHandlers[r.Method]
+	if handler == nil {
+		q.setAllowHeaders()
 		http.Error(w, "method is not known", http.StatusMethodNotAllowed)
 		return
 	}
-	q.breath()
-	if err := do(q); err != nil {
-		q.fail(err)
+	q.extendDeadlines()
+	if err := handler(q); err != nil {
+		q.writeError(err)
 	}
 }
 
-// find gives the tree that a URL's path lies in, and the rest.
-func (l *listener) find(path string) (*tree, string, bool) {
+// findTree returns the tree that contains a URL path, and the path within the tree.
+func (l *listener) findTree(path string) (*tree, string, bool) {
 	for _, t := range l.trees {
 		if rest, ok := strings.CutPrefix(path, t.prefix); ok && (rest == "" || rest[0] == '/') {
 			if rest == "" {
--- a/internal/front/dav/tree.go
+++ b/internal/front/dav/tree.go
@@ -6,64 +6,66 @@
 	"appleplank/internal/catalogue"
 )
 
-// tree is a volume of objects under a path.
+// tree serves the files of a volume of objects under a URL path.
 type tree struct {
-	prefix       string // "" or without a slash at the end
-	volume       int
-	block        int64
-	cat          *catalogue.Catalogue
-	back         Backend
-	read, writes map[string]bool
+	prefix                string // URL path without a trailing slash; "" for the root
+	volume                int
+	blockSize             int64
+	cat                   *catalogue.Catalogue
+	backend               Backend
+	readUsers, writeUsers map[string]bool
 
-	mu      sync.Mutex
-	readers map[content]int
-	late    map[content][]catalogue.Object // freed while they are read
+	mu            sync.Mutex
+	readerCounts  map[contentVersion]int
+	deferredFrees map[contentVersion][]catalogue.Object // objects freed while they are read
 }
 
-// content is what a name meant at a time.
-type content struct{ entry, version uint64 }
+// contentVersion identifies one version of an entry's content.
+type contentVersion struct{ entry, version uint64 }
 
-// open finds a file and keeps its objects until let.
+// open returns the entry of a path and keeps its objects allocated until release.
 func (t *tree) open(path string) (*catalogue.Entry, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, err := t.cat.Get(path)
 	if err == nil {
-		t.readers[content{e.ID, e.Version}]++
+		t.readerCounts[contentVersion{e.ID, e.Version}]++
 	}
 	return e, err
 }
 
-func (t *tree) let(e *catalogue.Entry) {
-	k := content{e.ID, e.Version}
+// release ends a use that open began, and frees the objects whose release was deferred for it.
+func (t *tree) release(e *catalogue.Entry) {
+	k := contentVersion{e.ID, e.Version}
 	t.mu.Lock()
-	var gone []catalogue.Object
-	if t.readers[k]--; t.readers[k] == 0 {
-		delete(t.readers, k)
-		gone = t.late[k]
-		delete(t.late, k)
+	var objects []catalogue.Object
+	if t.readerCounts[k]--; t.readerCounts[k] == 0 {
+		delete(t.readerCounts, k)
+		objects = t.deferredFrees[k]
+		delete(t.deferredFrees, k)
 	}
 	t.mu.Unlock()
-	for _, o := range gone {
-		t.back.FreeSpace(t.volume, o.At)
+	for _, o := range objects {
+		t.backend.FreeSpace(t.volume, o.At)
 	}
 }
 
-// free gives objects back that no name means any more, once nobody reads them.
-func (t *tree) free(freed []catalogue.Freed) {
+// freeObjects frees objects that no entry refers to any more. Those that are being read are freed after the last reader
+// closes.
+func (t *tree) freeObjects(freed []catalogue.Freed) {
 	for _, f := range freed {
-		k := content{f.Entry, f.Version}
+		k := contentVersion{f.Entry, f.Version}
 		t.mu.Lock()
-		held := f.Entry != 0 && t.readers[k] > 0
+		held := f.Entry != 0 && t.readerCounts[k] > 0
 		if held {
-			t.late[k] = append(t.late[k], f.Objects...)
+			t.deferredFrees[k] = append(t.deferredFrees[k], f.Objects...)
 		}
 		t.mu.Unlock()
 		if held {
 			continue
 		}
 		for _, o := range f.Objects {
-			t.back.FreeSpace(t.volume, o.At)
+			t.backend.FreeSpace(t.volume, o.At)
 		}
 	}
 }
--- a/internal/front/dav/xml.go
+++ b/internal/front/dav/xml.go
@@ -17,36 +17,38 @@
 	"appleplank/locks"
 )
 
-// Bounds of a request's XML. Entities that are not XML's own are an error of the decoder, so none can grow or be fetched.
+// Limits of the XML in a request. The decoder rejects entities that XML does not predefine, so none can be expanded or
+// fetched.
 const (
-	mostXML    = 256 << 10
-	mostTokens = 20_000
-	mostNested = 64
+	maxXMLBytes  = 256 << 10
+	maxXMLTokens = 20_000
+	maxXMLDepth  = 64
 
-	mostWanted      = 256 // properties of a PROPFIND
-	mostWantedBytes = 16 << 10
+	maxRequestedProps     = 256 // properties named in a PROPFIND
+	maxRequestedPropBytes = 16 << 10
 )
 
-const davSpace = "DAV:"
+const davNamespace = "DAV:"
 
-type name struct{ space, local string }
+// xmlName is the expanded name of an element.
+type xmlName struct{ namespace, local string }
 
-// node is an element: what the bodies of requests are read into.
-type node struct {
-	name
+// element is an XML element of a request's body.
+type element struct {
+	xmlName
 	attrs    []xml.Attr
-	children []*node
-	inner    []byte // its content as XML that stands by itself
+	children []*element
+	innerXML []byte // content as XML that declares all its namespaces
 }
 
 var errXML = errors.New("dav: the body is no XML that this method takes")
 
-// readXML reads a body; nil where it is empty.
-func readXML(r io.Reader) (*node, error) {
-	d := xml.NewDecoder(io.LimitReader(r, mostXML+1))
-	var stack []*node
-	var top *node
-	names := 0 // bytes: a long space that is declared once stands at every name that we write
+// readXML parses a body and returns its root element, nil if the body is empty.
+func readXML(r io.Reader) (*element, error) {
+	d := xml.NewDecoder(io.LimitReader(r, maxXMLBytes+1))
+	var stack []*element
+	var root *element
+	nameBytes := 0 // limits the output, where standalone repeats the namespace at every name
 	for n := 0; ; n++ {
 		t, err := d.Token()
 		if err == io.EOF && len(stack) == 0 {
@@ -55,59 +57,60 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %v", errXML, err)
 		}
-		if n > mostTokens || d.InputOffset() > mostXML {
+		if n > maxXMLTokens || d.InputOffset() > maxXMLBytes {
 			return nil, fmt.Errorf("%w: it is too large", errXML)
 		}
 		switch t := t.(type) {
 		case xml.StartElement:
-			x := &node{name: name{t.Name.Space, t.Name.Local}, attrs: slices.Clone(t.Attr)}
-			names += len(t.Name.Space) + len(t.Name.Local)
+			el := &element{xmlName: xmlName{t.Name.Space, t.Name.Local}, attrs: slices.Clone(t.Attr)}
+			nameBytes += len(t.Name.Space) + len(t.Name.Local)
 			for _, a := range t.Attr {
-				names += len(a.Name.Space) + len(a.Name.Local)
+				nameBytes += len(a.Name.Space) + len(a.Name.Local)
 			}
-			if names > mostXML {
+			if nameBytes > maxXMLBytes {
 				return nil, fmt.Errorf("%w: its names are too long", errXML)
 			}
-			if len(stack) >= mostNested || len(stack) == 0 && top != nil {
+			if len(stack) >= maxXMLDepth || len(stack) == 0 && root != nil {
 				return nil, fmt.Errorf("%w: it is too deep, or has two roots", errXML)
 			}
 			if len(stack) > 0 {
-				up := stack[len(stack)-1]
-				up.children = append(up.children, x)
+				parent := stack[len(stack)-1]
+				parent.children = append(parent.children, el)
 			} else {
-				top = x
+				root = el
 			}
-			stack = append(stack, x)
+			stack = append(stack, el)
 		case xml.EndElement:
-			x := stack[len(stack)-1]
+			el := stack[len(stack)-1]
 			stack = stack[:len(stack)-1]
 			if len(stack) > 0 {
-				up := stack[len(stack)-1]
-				up.inner = append(up.inner, x.raw()...)
+				parent := stack[len(stack)-1]
+				parent.innerXML = append(parent.innerXML, el.standalone()...)
 			}
 		case xml.CharData:
 			if len(stack) > 0 {
-				x := stack[len(stack)-1]
-				x.inner = append(x.inner, escape(string(t))...)
+				el := stack[len(stack)-1]
+				el.innerXML = append(el.innerXML, escape(string(t))...)
 			}
 		case xml.Directive:
 			return nil, fmt.Errorf("%w: it has a document type", errXML)
 		}
 	}
-	return top, nil
+	return root, nil
 }
 
+// escape escapes s for use in XML text or an attribute.
 func escape(s string) string {
 	var b strings.Builder
 	xml.EscapeText(&b, []byte(s))
 	return b.String()
 }
 
-// raw is an element as XML that stands by itself: every name with its space.
-func (n *node) raw() string {
+// standalone returns the element as XML that is valid on its own: every element declares its namespace.
+func (n *element) standalone() string {
 	var b strings.Builder
-	b.WriteString("<" + n.local + ` xmlns="` + escape(n.space) + `"`)
-	spaces := 0
+	b.WriteString("<" + n.local + ` xmlns="` + escape(n.namespace) + `"`)
+	prefixes := 0
 	for _, a := range n.attrs {
 		switch {
 		case a.Name.Local == "xmlns" || a.Name.Space == "xmlns":
@@ -116,19 +119,20 @@
 		case a.Name.Space == "http://www.w3.org/XML/1998/namespace" || a.Name.Space == "xml":
 			b.WriteString(" xml:" + a.Name.Local + `="` + escape(a.Value) + `"`)
 		default:
-			fmt.Fprintf(&b, ` xmlns:a%d="%s" a%d:%s="%s"`, spaces, escape(a.Name.Space), spaces, a.Name.Local, escape(a.Value))
-			spaces++
+			fmt.Fprintf(&b, ` xmlns:a%d="%s" a%d:%s="%s"`, prefixes, escape(a.Name.Space), prefixes, a.Name.Local, escape(a.Value))
+			prefixes++
 		}
 	}
-	if len(n.inner) == 0 {
+	if len(n.innerXML) == 0 {
 		return b.String() + "/>"
 	}
-	return b.String() + ">" + string(n.inner) + "</" + n.local + ">"
+	return b.String() + ">" + string(n.innerXML) + "</" + n.local + ">"
 }
 
-func (n *node) child(local string) *node {
+// child returns the first child element with a name in the DAV: namespace, nil if there is none.
+func (n *element) child(local string) *element {
 	for _, c := range n.children {
-		if c.space == davSpace && c.local == local {
+		if c.namespace == davNamespace && c.local == local {
 			return c
 		}
 	}
@@ -137,14 +141,14 @@
 
 // ---- properties ----
 
-// live are the properties that the server keeps, in the order of allprop.
-var live = []string{"creationdate", "getcontentlength", "getcontenttype", "getetag", "getlastmodified", "resourcetype", "supportedlock", "lockdiscovery"}
+// liveProps are the properties that the server maintains, in the order of an allprop answer.
+var liveProps = []string{"creationdate", "getcontentlength", "getcontenttype", "getetag", "getlastmodified", "resourcetype", "supportedlock", "lockdiscovery"}
 
-// quota are given only when they are asked for (RFC 4331).
-var quota = []string{"quota-available-bytes", "quota-used-bytes"}
+// quotaProps are returned only if they are requested by name (RFC 4331).
+var quotaProps = []string{"quota-available-bytes", "quota-used-bytes"}
 
-// value is a live property's content; false where the entry has none.
-func (q *request) value(p string, href string, e *catalogue.Entry) (string, bool) {
+// liveValue returns the value of a live property as XML, and false if the entry does not have it.
+func (q *request) liveValue(p string, href string, e *catalogue.Entry) (string, bool) {
 	switch p {
 	case "creationdate":
 		return time.Unix(0, e.Created).UTC().Format("2006-01-02T15:04:05Z"), true
@@ -166,24 +170,25 @@
 		return fmt.Sprintf(entry+entry, "exclusive", "shared"), true
 	case "lockdiscovery":
 		var b strings.Builder
-		q.t.cat.Locks(func(now int64, t *locks.Table) {
-			t.On(now, clean(href), false, func(l *locks.Lock) bool {
-				b.WriteString(q.activeLock(now, l))
+		q.tree.cat.Locks(func(now int64, t *locks.Table) {
+			t.On(now, cleanPath(href), false, func(l *locks.Lock) bool {
+				b.WriteString(q.activeLockXML(now, l))
 				return true
 			})
 		})
 		return b.String(), true
 	case "quota-available-bytes":
-		free, _ := q.t.back.Space(q.t.volume)
+		free, _ := q.tree.backend.Space(q.tree.volume)
 		return fmt.Sprint(free), e.Dir
 	case "quota-used-bytes":
-		_, used := q.t.back.Space(q.t.volume)
+		_, used := q.tree.backend.Space(q.tree.volume)
 		return fmt.Sprint(used), e.Dir
 	}
 	return "", false
 }
 
-func (q *request) activeLock(now int64, l *locks.Lock) string {
+// activeLockXML returns the activelock element of a lock.
+func (q *request) activeLockXML(now int64, l *locks.Lock) string {
 	scope, depth := "exclusive", "0"
 	if l.Shared {
 		scope = "shared"
@@ -195,43 +200,46 @@
 	if l.Owner != "" {
 		owner = "<D:owner>" + l.Owner + "</D:owner>"
 	}
-	// RFC 4918, 6.4: whoever sees the token still must be the user it was given to.
+	// Showing the token to others is safe (RFC 4918, section 6.4): only the user that it was granted to can use it.
 	token := "<D:locktoken><D:href>" + escape(l.Token) + "</D:href></D:locktoken>"
 	return fmt.Sprintf(`<D:activelock><D:locktype><D:write/></D:locktype><D:lockscope><D:%s/></D:lockscope><D:depth>%s</D:depth>%s<D:timeout>Second-%d</D:timeout>%s<D:lockroot><D:href>%s</D:href></D:lockroot></D:activelock>`,
 		scope, depth, owner, max(l.Expires-now, 0), token, q.href(l.Root, false))
 }
 
-// href is the URL path of a name.
+// href returns the URL path of a name, escaped for XML. The path of a folder ends with a slash.
 func (q *request) href(p string, dir bool) string {
-	u := url.URL{Path: q.t.prefix + clean(p)}
-	if clean(p) == "/" {
-		u.Path = q.t.prefix + "/"
+	u := url.URL{Path: q.tree.prefix + cleanPath(p)}
+	if cleanPath(p) == "/" {
+		u.Path = q.tree.prefix + "/"
 	} else if dir {
 		u.Path += "/"
 	}
 	return escape(u.EscapedPath())
 }
 
-// multi writes a 207 bit by bit.
-type multi struct {
-	q *request
-	w *bufio.Writer
-	n int
+// multiStatus writes a 207 (Multi-Status) answer piece by piece.
+type multiStatus struct {
+	request *request
+	w       *bufio.Writer
+	count   int
 }
 
-func (q *request) multi() *multi {
+// startMultiStatus writes the header and the start of a 207 answer.
+func (q *request) startMultiStatus() *multiStatus {
 	q.w.Header().Set("Content-Type", `application/xml; charset="utf-8"`)
 	q.w.WriteHeader(http.StatusMultiStatus)
-	m := &multi{q: q, w: bufio.NewWriterSize(q.w, 32<<10)}
+	m := &multiStatus{request: q, w: bufio.NewWriterSize(q.w, 32<<10)}
 	m.w.WriteString(xml.Header + `<D:multistatus xmlns:D="DAV:">`)
 	return m
 }
 
-func (m *multi) end() error {
+// finish writes the end of the answer.
+func (m *multiStatus) finish() error {
 	m.w.WriteString("</D:multistatus>")
 	return m.w.Flush()
 }
 
+// propstat returns a propstat element for properties that share a status, "" if there are none.
 func propstat(props string, code int) string {
 	if props == "" {
 		return ""
@@ -239,39 +247,41 @@
 	return fmt.Sprintf("<D:propstat><D:prop>%s</D:prop><D:status>HTTP/1.1 %d %s</D:status></D:propstat>", props, code, http.StatusText(code))
 }
 
-func (n name) empty() string {
-	if n.space == davSpace {
+// emptyElement returns an element with this name and no content.
+func (n xmlName) emptyElement() string {
+	if n.namespace == davNamespace {
 		return "<D:" + n.local + "/>"
 	}
-	return "<" + n.local + ` xmlns="` + escape(n.space) + `"/>`
+	return "<" + n.local + ` xmlns="` + escape(n.namespace) + `"/>`
 }
 
-// ask is what a PROPFIND wants.
-type ask struct {
-	names  bool // only which there are
-	all    bool
-	wanted []name // with all: besides
+// propfindRequest is the content of a PROPFIND request.
+type propfindRequest struct {
+	namesOnly bool // propname: names without values
+	all       bool
+	requested []xmlName // with all: in addition (include)
 }
 
-func readPropfind(r io.Reader) (a ask, err error) {
+// readPropfind parses the body of a PROPFIND. An empty body requests all properties.
+func readPropfind(r io.Reader) (a propfindRequest, err error) {
 	x, err := readXML(r)
 	if err != nil {
 		return a, err
 	}
 	if x == nil {
-		return ask{all: true}, nil
+		return propfindRequest{all: true}, nil
 	}
-	if x.space != davSpace || x.local != "propfind" {
+	if x.namespace != davNamespace || x.local != "propfind" {
 		return a, errXML
 	}
 	forms, size := 0, 0
 	for _, c := range x.children {
-		if c.space != davSpace {
+		if c.namespace != davNamespace {
 			continue
 		}
 		switch c.local {
 		case "propname":
-			a.names = true
+			a.namesOnly = true
 			forms++
 		case "allprop":
 			a.all = true
@@ -281,67 +291,67 @@
 			fallthrough
 		case "include":
 			for _, p := range c.children {
-				a.wanted = append(a.wanted, p.name)
-				size += len(p.space) + len(p.local)
+				a.requested = append(a.requested, p.xmlName)
+				size += len(p.namespace) + len(p.local)
 			}
 		}
 	}
-	if forms != 1 || len(a.wanted) > mostWanted || size > mostWantedBytes { // they are answered for every entry of a folder
+	if forms != 1 || len(a.requested) > maxRequestedProps || size > maxRequestedPropBytes { // repeated for every entry of a folder
 		return a, errXML
 	}
 	return a, nil
 }
 
-// one writes what is asked of one entry.
-func (m *multi) one(a *ask, p string, e *catalogue.Entry) error {
-	q := m.q
+// writeEntry writes the response element of one entry.
+func (m *multiStatus) writeEntry(a *propfindRequest, p string, e *catalogue.Entry) error {
+	q := m.request
 	var found, missing strings.Builder
-	give := func(local string) bool {
-		v, ok := q.value(local, p, e)
-		if ok && a.names {
+	writeLive := func(local string) bool {
+		v, ok := q.liveValue(local, p, e)
+		if ok && a.namesOnly {
 			found.WriteString("<D:" + local + "/>")
 		} else if ok {
 			found.WriteString("<D:" + local + ">" + v + "</D:" + local + ">")
 		}
 		return ok
 	}
-	dead := func(d *catalogue.Prop) {
-		if a.names {
-			found.WriteString(name{d.Space, d.Name}.empty())
+	writeDead := func(d *catalogue.Prop) {
+		if a.namesOnly {
+			found.WriteString(xmlName{d.Space, d.Name}.emptyElement())
 		} else {
 			found.WriteString(d.XML)
 		}
 	}
-	if a.names || a.all {
-		for _, l := range live {
-			give(l)
+	if a.namesOnly || a.all {
+		for _, l := range liveProps {
+			writeLive(l)
 		}
 		for i := range e.Props {
-			dead(&e.Props[i])
+			writeDead(&e.Props[i])
 		}
 	}
-	for _, n := range a.wanted {
-		if n.space == davSpace && (slices.Contains(live, n.local) || slices.Contains(quota, n.local)) {
-			if a.all && slices.Contains(live, n.local) {
+	for _, n := range a.requested {
+		if n.namespace == davNamespace && (slices.Contains(liveProps, n.local) || slices.Contains(quotaProps, n.local)) {
+			if a.all && slices.Contains(liveProps, n.local) {
 				continue
 			}
-			if give(n.local) {
+			if writeLive(n.local) {
 				continue
 			}
-		} else if i := slices.IndexFunc(e.Props, func(d catalogue.Prop) bool { return d.Space == n.space && d.Name == n.local }); i >= 0 {
+		} else if i := slices.IndexFunc(e.Props, func(d catalogue.Prop) bool { return d.Space == n.namespace && d.Name == n.local }); i >= 0 {
 			if !a.all {
-				dead(&e.Props[i])
+				writeDead(&e.Props[i])
 			}
 			continue
 		}
-		missing.WriteString(n.empty())
+		missing.WriteString(n.emptyElement())
 	}
 	stats := propstat(found.String(), 200) + propstat(missing.String(), 404)
 	if stats == "" {
 		stats = "<D:propstat><D:prop/><D:status>HTTP/1.1 200 OK</D:status></D:propstat>"
 	}
-	if m.n++; m.n%256 == 0 {
-		q.breath()
+	if m.count++; m.count%256 == 0 {
+		q.extendDeadlines()
 	}
 	_, err := m.w.WriteString("<D:response><D:href>" + q.href(p, e.Dir) + "</D:href>" + stats + "</D:response>")
 	return err
@@ -350,7 +360,7 @@
 func (q *request) propfind() error {
 	a, err := readPropfind(q.r.Body)
 	if err != nil {
-		return answer(http.StatusBadRequest, "%v", err)
+		return failf(http.StatusBadRequest, "%v", err)
 	}
 	depth := q.r.Header.Get("Depth")
 	switch depth {
@@ -361,23 +371,23 @@
 		io.WriteString(q.w, xml.Header+`<D:error xmlns:D="DAV:"><D:propfind-finite-depth/></D:error>`)
 		return nil
 	default:
-		return answer(http.StatusBadRequest, "Depth %q", depth)
+		return failf(http.StatusBadRequest, "Depth %q", depth)
 	}
-	e, err := q.t.cat.Get(q.path)
+	e, err := q.tree.cat.Get(q.path)
 	if err != nil {
 		return err
 	}
-	m := q.multi()
-	if err := m.one(&a, q.path, e); err != nil {
+	m := q.startMultiStatus()
+	if err := m.writeEntry(&a, q.path, e); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	for after := ""; depth == "1" && e.Dir; {
-		list, err := q.t.cat.List(e.ID, after, 512)
+		list, err := q.tree.cat.List(e.ID, after, 512)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		for i := range list {
-			if err := m.one(&a, path.Join(clean(q.path), list[i].Name), &list[i].Entry); err != nil {
+			if err := m.writeEntry(&a, path.Join(cleanPath(q.path), list[i].Name), &list[i].Entry); err != nil {
 				panic(http.ErrAbortHandler)
 			}
 			after = list[i].Name
@@ -386,7 +396,7 @@
 			break
 		}
 	}
-	if m.end() != nil {
+	if m.finish() != nil {
 		panic(http.ErrAbortHandler)
 	}
 	return nil
@@ -394,82 +404,83 @@
 
 func (q *request) proppatch() error {
 	x, err := readXML(q.r.Body)
-	if err != nil || x == nil || x.space != davSpace || x.local != "propertyupdate" {
-		return answer(http.StatusBadRequest, "%v", errors.Join(errXML, err))
+	if err != nil || x == nil || x.namespace != davNamespace || x.local != "propertyupdate" {
+		return failf(http.StatusBadRequest, "%v", errors.Join(errXML, err))
 	}
-	if err := q.preconditions(); err != nil {
+	if err := q.checkPreconditions(); err != nil {
 		return err
 	}
-	if err := q.may(q.path, false, false); err != nil {
+	if err := q.checkLocks(q.path, false, false); err != nil {
 		return err
 	}
 	var set, remove []catalogue.Prop
-	var all, protected []name
-	same := func(n name) func(catalogue.Prop) bool {
-		return func(p catalogue.Prop) bool { return p.Space == n.space && p.Name == n.local }
+	var names, protected []xmlName
+	sameName := func(n xmlName) func(catalogue.Prop) bool {
+		return func(p catalogue.Prop) bool { return p.Space == n.namespace && p.Name == n.local }
 	}
 	for _, c := range x.children {
-		ps := c.child("prop")
-		if c.space != davSpace || ps == nil || c.local != "set" && c.local != "remove" {
+		props := c.child("prop")
+		if c.namespace != davNamespace || props == nil || c.local != "set" && c.local != "remove" {
 			continue
 		}
-		for _, p := range ps.children { // in the order they stand in: a later one undoes an earlier
-			all = append(all, p.name)
-			if p.space == davSpace && (slices.Contains(live, p.local) || slices.Contains(quota, p.local)) {
-				protected = append(protected, p.name)
+		for _, p := range props.children { // in document order: a later instruction for a property overrides an earlier one
+			names = append(names, p.xmlName)
+			if p.namespace == davNamespace && (slices.Contains(liveProps, p.local) || slices.Contains(quotaProps, p.local)) {
+				protected = append(protected, p.xmlName)
 				continue
 			}
-			set, remove = slices.DeleteFunc(set, same(p.name)), slices.DeleteFunc(remove, same(p.name))
+			set, remove = slices.DeleteFunc(set, sameName(p.xmlName)), slices.DeleteFunc(remove, sameName(p.xmlName))
 			if c.local == "set" {
-				set = append(set, catalogue.Prop{Space: p.space, Name: p.local, XML: p.raw()})
+				set = append(set, catalogue.Prop{Space: p.namespace, Name: p.local, XML: p.standalone()})
 			} else {
-				remove = append(remove, catalogue.Prop{Space: p.space, Name: p.local})
+				remove = append(remove, catalogue.Prop{Space: p.namespace, Name: p.local})
 			}
 		}
 	}
 	code := http.StatusOK
 	if len(protected) == 0 {
-		if err := q.t.cat.SetProps(q.path, set, remove); errors.Is(err, catalogue.ErrTooLarge) {
+		if err := q.tree.cat.SetProps(q.path, set, remove); errors.Is(err, catalogue.ErrTooLarge) {
 			code = http.StatusInsufficientStorage
 		} else if err != nil {
 			return err
 		}
-	} else { // all or none
+	} else { // all changes or none
 		code = http.StatusFailedDependency
 	}
-	e, err := q.t.cat.Get(q.path)
+	e, err := q.tree.cat.Get(q.path)
 	if err != nil {
 		return err
 	}
-	var rest, bad strings.Builder
-	for _, n := range all {
+	var others, forbidden strings.Builder
+	for _, n := range names {
 		if slices.Contains(protected, n) {
-			bad.WriteString(n.empty())
+			forbidden.WriteString(n.emptyElement())
 		} else {
-			rest.WriteString(n.empty())
+			others.WriteString(n.emptyElement())
 		}
 	}
-	m := q.multi()
-	m.w.WriteString("<D:response><D:href>" + q.href(q.path, e.Dir) + "</D:href>" + propstat(rest.String(), code) + propstat(bad.String(), http.StatusForbidden) + "</D:response>")
-	m.end()
+	m := q.startMultiStatus()
+	m.w.WriteString("<D:response><D:href>" + q.href(q.path, e.Dir) + "</D:href>" + propstat(others.String(), code) + propstat(forbidden.String(), http.StatusForbidden) + "</D:response>")
+	m.finish()
 	return nil
 }
 
 // ---- locks ----
 
+// lockInfo is the content of a LOCK request.
 type lockInfo struct {
 	shared bool
 	owner  string
 }
 
-// readLockInfo reads a LOCK's body; nil where it is empty: a refresh.
+// readLockInfo parses the body of a LOCK. It returns nil for an empty body, which requests a refresh.
 func readLockInfo(r io.Reader) (*lockInfo, error) {
 	x, err := readXML(r)
 	if err != nil || x == nil {
 		return nil, err
 	}
 	scope, kind := x.child("lockscope"), x.child("locktype")
-	if x.space != davSpace || x.local != "lockinfo" || scope == nil || kind == nil || kind.child("write") == nil {
+	if x.namespace != davNamespace || x.local != "lockinfo" || scope == nil || kind == nil || kind.child("write") == nil {
 		return nil, errXML
 	}
 	info := &lockInfo{shared: scope.child("shared") != nil}
@@ -477,15 +488,16 @@
 		return nil, errXML
 	}
 	if o := x.child("owner"); o != nil {
-		info.owner = string(o.inner)
+		info.owner = string(o.innerXML)
 	}
 	return info, nil
 }
 
+// sendLock answers a LOCK with the granted or refreshed lock.
 func (q *request) sendLock(code int, l *locks.Lock) error {
 	q.w.Header().Set("Content-Type", `application/xml; charset="utf-8"`)
 	q.w.WriteHeader(code)
-	_, err := io.WriteString(q.w, xml.Header+`<D:prop xmlns:D="DAV:"><D:lockdiscovery>`+q.activeLock(l.Expires-l.Length, l)+`</D:lockdiscovery></D:prop>`)
+	_, err := io.WriteString(q.w, xml.Header+`<D:prop xmlns:D="DAV:"><D:lockdiscovery>`+q.activeLockXML(l.Expires-l.Length, l)+`</D:lockdiscovery></D:prop>`)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
