--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -251,8 +251,8 @@
 	return out, err
 }
 
-// Objects calls f for each object of every file and stops at the first error.
-func (c *Catalogue) Objects(f func(o Object) error) error {
+// ForEachObject calls f for each object of every file and stops at the first error.
+func (c *Catalogue) ForEachObject(f func(o Object) error) error {
 	return c.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(entriesBucket).ForEach(func(_, b []byte) error {
 			var e Entry
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -157,7 +157,7 @@
 				}
 			}
 			seen := map[int64]bool{}
-			c.Objects(func(o Object) error { seen[o.At] = true; return nil })
+			c.ForEachObject(func(o Object) error { seen[o.At] = true; return nil })
 			if len(seen) != len(live) {
 				t.Fatalf("%d objects in the catalogue, want %d", len(seen), len(live))
 			}
--- a/internal/front/dav/server.go
+++ b/internal/front/dav/server.go
@@ -102,7 +102,7 @@
 				return s, err
 			}
 			s.trees, l.trees = append(s.trees, t), append(l.trees, t)
-			if err = t.cat.Objects(func(o catalogue.Object) error { return e.TakeSpace(x.Volume, o.At, o.Len) }); err != nil {
+			if err = t.cat.ForEachObject(func(o catalogue.Object) error { return e.TakeSpace(x.Volume, o.At, o.Len) }); err != nil {
 				return s, fmt.Errorf("dav: tree %s: %w", x.Path, err)
 			}
 		}
