--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -65,12 +65,12 @@
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			p := rapid.SampledFrom(names).Draw(t, "path")
-			at, exists := tree[p]
+			offset, exists := tree[p]
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
 				nextOffset += 10
 				_, created, freed, err := c.Put(p, "", 7, []Object{{nextOffset, 7}}, acceptAny)
-				ok := hasParent(p) && !(exists && at < 0)
+				ok := hasParent(p) && !(exists && offset < 0)
 				if (err == nil) != ok || ok && created == exists {
 					t.Fatalf("put %s: created %v, %v; tree %v", p, created, err, tree)
 				}
@@ -92,11 +92,11 @@
 				removeTree(p)
 				checkFreed(freed)
 			case 4, 5:
-				to, over := rapid.SampledFrom(names).Draw(t, "to"), rapid.Bool().Draw(t, "overwrite")
-				_, there := tree[to]
-				created, freed, err := c.Move(p, to, over)
-				ok := exists && !under(to, p) && !under(p, to) && hasParent(to) && (!there || over)
-				if (err == nil) != ok || ok && created == there {
+				to, overwrite := rapid.SampledFrom(names).Draw(t, "to"), rapid.Bool().Draw(t, "overwrite")
+				_, taken := tree[to]
+				created, freed, err := c.Move(p, to, overwrite)
+				ok := exists && !under(to, p) && !under(p, to) && hasParent(to) && (!taken || overwrite)
+				if (err == nil) != ok || ok && created == taken {
 					t.Fatalf("move %s to %s: created %v, %v; tree %v", p, to, created, err, tree)
 				}
 				if ok {
@@ -110,18 +110,18 @@
 				}
 				checkFreed(freed)
 			case 6: // a tree that is linked, dropped, or left over by a crash
-				tr, err := c.NewTree(Entry{Dir: true})
+				copied, err := c.NewTree(Entry{Dir: true})
 				if err != nil {
 					t.Fatal(err)
 				}
 				nextOffset += 10
-				if _, err := tr.Add(tr.Root(), "f", Entry{Size: 7, Objects: []Object{{nextOffset, 7}}}); err != nil {
+				if _, err := copied.Add(copied.Root(), "f", Entry{Size: 7, Objects: []Object{{nextOffset, 7}}}); err != nil {
 					t.Fatal(err)
 				}
 				live[nextOffset] = true
 				switch rapid.IntRange(0, 2).Draw(t, "then") {
 				case 0:
-					_, freed, err := tr.Link(p, true)
+					_, freed, err := copied.Link(p, true)
 					if (err == nil) != hasParent(p) {
 						t.Fatalf("link %s: %v", p, err)
 					}
@@ -129,11 +129,11 @@
 						removeTree(p)
 						tree[p], tree[p+"/f"] = -1, nextOffset
 					} else {
-						freed, _ = tr.Drop()
+						freed, _ = copied.Drop()
 					}
 					checkFreed(freed)
 				case 1:
-					freed, _ := tr.Drop()
+					freed, _ := copied.Drop()
 					checkFreed(freed)
 				default:
 					delete(live, nextOffset)
--- a/internal/front/dav/io.go
+++ b/internal/front/dav/io.go
@@ -77,7 +77,7 @@
 
 // wait waits until the op is done and returns nil if it was served; the caller then releases it. If ctx ends first,
 // wait abandons the op and returns the error of ctx. After any error the op must not be used any more.
-func (c *pendingOp) wait(ctx context.Context, back Backend) error {
+func (c *pendingOp) wait(ctx context.Context, backend Backend) error {
 	select {
 	case <-c.done:
 	case <-ctx.Done():
@@ -86,7 +86,7 @@
 		c.abandoned = abandoned
 		c.mu.Unlock()
 		if abandoned {
-			back.Gone(c.op)
+			backend.Gone(c.op)
 			return ctx.Err()
 		}
 	}
@@ -142,8 +142,8 @@
 
 // startChunk starts reading the chunk at an offset of the file. Its goroutine ends when the op is done, or when ctx
 // ends.
-func (r *reader) startChunk(from int64) *chunk {
-	p := &chunk{offset: from, done: make(chan struct{})}
+func (r *reader) startChunk(offset int64) *chunk {
+	p := &chunk{offset: offset, done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
 		p.err = r.fetchChunk(p)
@@ -151,17 +151,17 @@
 	return p
 }
 
-// fetchChunk reads the data of a chunk. A chunk ends at the end of an object at the latest.
+// fetchChunk reads the data of a chunk, which does not extend beyond the end of an object.
 func (r *reader) fetchChunk(p *chunk) error {
-	remaining := p.offset
+	offset := p.offset
 	for _, o := range r.entry.Objects {
-		if remaining >= o.Len {
-			remaining -= o.Len
+		if offset >= o.Len {
+			offset -= o.Len
 			continue
 		}
-		first := remaining / r.tree.blockSize * r.tree.blockSize
-		skip := remaining - first
-		n := min(o.Len-remaining, chunkBytes-skip)
+		first := offset / r.tree.blockSize * r.tree.blockSize
+		skip := offset - first
+		n := min(o.Len-offset, chunkBytes-skip)
 		op, err := r.tree.newOp(r.ctx, block.Read, r.tree.roundUp(skip+n))
 		if err != nil {
 			return err
--- a/internal/front/dav/xml.go
+++ b/internal/front/dav/xml.go
@@ -274,7 +274,7 @@
 	if x.namespace != davNamespace || x.local != "propfind" {
 		return a, errXML
 	}
-	forms, size := 0, 0
+	forms, nameBytes := 0, 0
 	for _, c := range x.children {
 		if c.namespace != davNamespace {
 			continue
@@ -292,11 +292,11 @@
 		case "include":
 			for _, p := range c.children {
 				a.requested = append(a.requested, p.xmlName)
-				size += len(p.namespace) + len(p.local)
+				nameBytes += len(p.namespace) + len(p.local)
 			}
 		}
 	}
-	if forms != 1 || len(a.requested) > maxRequestedProps || size > maxRequestedPropBytes { // repeated for every entry of a folder
+	if forms != 1 || len(a.requested) > maxRequestedProps || nameBytes > maxRequestedPropBytes { // repeated for every entry of a folder
 		return a, errXML
 	}
 	return a, nil
@@ -346,14 +346,14 @@
 		}
 		missing.WriteString(n.emptyElement())
 	}
-	stats := propstat(found.String(), 200) + propstat(missing.String(), 404)
-	if stats == "" {
-		stats = "<D:propstat><D:prop/><D:status>HTTP/1.1 200 OK</D:status></D:propstat>"
+	propstats := propstat(found.String(), 200) + propstat(missing.String(), 404)
+	if propstats == "" {
+		propstats = "<D:propstat><D:prop/><D:status>HTTP/1.1 200 OK</D:status></D:propstat>"
 	}
 	if m.count++; m.count%256 == 0 {
 		q.extendDeadlines()
 	}
-	_, err := m.w.WriteString("<D:response><D:href>" + q.href(p, e.Dir) + "</D:href>" + stats + "</D:response>")
+	_, err := m.w.WriteString("<D:response><D:href>" + q.href(p, e.Dir) + "</D:href>" + propstats + "</D:response>")
 	return err
 }
 
@@ -423,7 +423,7 @@
 		if c.namespace != davNamespace || props == nil || c.local != "set" && c.local != "remove" {
 			continue
 		}
-		for _, p := range props.children { // in document order: a later instruction for a property overrides an earlier one
+		for _, p := range props.children { // in document order: a later change of a property overrides an earlier one
 			names = append(names, p.xmlName)
 			if p.namespace == davNamespace && (slices.Contains(liveProps, p.local) || slices.Contains(quotaProps, p.local)) {
 				protected = append(protected, p.xmlName)
