--- a/internal/front/ring/fuzz_test.go
+++ b/internal/front/ring/fuzz_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Whatever a client writes on its socket, its session ends with it, without a panic and without a descriptor left.
+// Whatever a client writes to its socket, the session ends when the client disconnects, without a panic.
 func FuzzMessages(f *testing.F) {
 	msg := func(request uint32, payload ...byte) []byte {
 		b := binary.LittleEndian.AppendUint32(nil, request)
@@ -27,7 +27,7 @@
 	f.Add(append(msg(12, 0, 1, 0, 0, 0, 0, 0, 0), msg(18, 0, 0, 0, 0, 1, 0, 0, 0)...))
 	f.Add(append(msg(11, make([]byte, 8)...), msg(34)...))
 	dev := &device{&settings.Volume{Name: "x", Size: 1 << 20, BlockSize: 512, Queues: 2, Serial: "x"}, 0, 4 << 20}
-	srv := &Server{log: zap.NewNop(), mostMemory: 1 << 30}
+	srv := &Server{log: zap.NewNop(), maxMemory: 1 << 30}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
@@ -54,8 +54,8 @@
 	return c.(*net.UnixConn)
 }
 
-// Whatever lies in a client's memory, following a chain and reading its request ends, within the bounds, and names
-// only memory that is the client's.
+// Whatever client memory contains, following a chain and parsing its request terminates within the limits, and refers
+// to client memory only.
 func FuzzChain(f *testing.F) {
 	seed := make([]byte, 512)
 	for i, d := range [][4]uint64{{256, 16, 1, 1}, {300, 100, 3, 2}, {400, 1, 2, 0}} {
@@ -77,20 +77,21 @@
 		m := &memory{regions: []region{{gpa: 0, size: uint64(len(b)), mem: b}}}
 		q := &virtqueue{num: num, desc: b[:num*descLen], indirect: indirect}
 		var c chain
-		if q.read(m, head%num, &c) != nil {
+		if q.readChain(m, head%num, &c) != nil {
 			return
 		}
-		if len(c.in)+len(c.out) > mostChain+num {
+		if len(c.in)+len(c.out) > maxChainLen+num {
 			t.Fatalf("a chain of %d descriptors", len(c.in)+len(c.out))
 		}
 		for _, s := range append(c.in, c.out...) {
-			if s.len > 0 && (s.gpa+uint64(s.len) > uint64(len(b)) || s.gpa+uint64(s.len) < s.gpa) { // of no length it touches nothing
-				t.Fatalf("%d bytes at %#x are not the client's", s.len, s.gpa)
+			// An empty segment accesses no memory.
+			if s.len > 0 && (s.gpa+uint64(s.len) > uint64(len(b)) || s.gpa+uint64(s.len) < s.gpa) {
+				t.Fatalf("%d bytes at %#x are outside client memory", s.len, s.gpa)
 			}
 		}
 		p, err := dev.parse(m, &c)
-		if err == nil && !p.done && !p.id && (p.offset < 0 || p.len < 0 || p.offset+p.len > dev.Size) {
-			t.Fatalf("takes %d bytes at %d", p.len, p.offset)
+		if err == nil && !p.answered && !p.isGetID && (p.offset < 0 || p.len < 0 || p.offset+p.len > dev.Size) {
+			t.Fatalf("accepted %d bytes at %d, outside the volume", p.len, p.offset)
 		}
 	})
 }
--- a/internal/front/ring/handover.go
+++ b/internal/front/ring/handover.go
@@ -15,22 +15,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// A process that takes over is given every listener and every session: connection, features, memory, rings and the
-// inflight region, as plain data and descriptors. Its rings then begin as after a crash, from their regions.
+// A process that takes over receives every listener and every session (connection, features, memory, rings and the
+// inflight region) as plain data and descriptors. Its rings then start as after a crash, from the inflight regions.
 
-// Handed is all that a front hands over.
+// Handed is everything that a front hands over.
 type Handed struct {
 	Listeners []HandedListener
 	Sessions  []HandedSession
 }
 
-// HandedListener is a volume's listening socket.
+// HandedListener is the listening socket of a volume.
 type HandedListener struct {
 	Volume string
 	FD     int
 }
 
-// HandedSession is one client. Descriptors are the taker's to close.
+// HandedSession is one client. The receiver owns the descriptors.
 type HandedSession struct {
 	Volume   string
 	Conn     int
@@ -41,13 +41,13 @@
 	Inflight *HandedInflight
 }
 
-// HandedRegion is a run of a client's memory.
+// HandedRegion is a contiguous range of client memory.
 type HandedRegion struct {
 	GPA, Size, UVA, Offset uint64
 	FD                     int
 }
 
-// HandedRing is a ring; descriptors below zero are not there.
+// HandedRing is a ring. Negative descriptors are absent.
 type HandedRing struct {
 	Num               uint16
 	Desc, Avail, Used uint64
@@ -57,7 +57,7 @@
 	Kick, Call, Err   int
 }
 
-// HandedInflight is a region.
+// HandedInflight is an inflight region.
 type HandedInflight struct {
 	Size, Offset    uint64
 	Queues, Entries int
@@ -99,25 +99,25 @@
 	})
 }
 
-// frozen is what a session answers when it was asked to stand still.
-type frozen struct {
+// freezeReply is the answer of a session to a request to freeze.
+type freezeReply struct {
 	s       *session
 	handed  HandedSession
-	resumed chan bool // true: go on; false: another process has it
+	resumed chan bool // true: the session continues; false: another process serves it
 	err     error
 }
 
-// Freeze has every listener and session stand still and gives what there is of them. Thaw lets them go on, or ends
-// them without a word to their clients, whom another process serves.
+// Freeze suspends every listener and session and returns their state. Thaw resumes them or, if another process serves
+// the clients, ends them without notifying the clients.
 func (srv *Server) Freeze() (h *Handed, thaw func(goOn bool), err error) {
 	h = &Handed{}
-	var waiting []*frozen
+	var waiting []*freezeReply
 	srv.frozen.Store(true)
 	thaw = func(goOn bool) {
 		if goOn {
 			srv.frozen.Store(false)
 		} else {
-			srv.handed.Store(true)
+			srv.handedOver.Store(true)
 		}
 		for _, f := range waiting {
 			f.resumed <- goOn
@@ -125,7 +125,7 @@
 		for _, v := range srv.volumes {
 			if goOn {
 				v.keepPath(false)
-				v.l.SetDeadline(time.Time{})
+				v.socket.SetDeadline(time.Time{})
 			} else {
 				v.close()
 			}
@@ -133,28 +133,28 @@
 		h.Close()
 	}
 	for _, v := range srv.volumes {
-		v.l.SetDeadline(time.Unix(1, 0))
-		v.keepPath(true) // from its copy on it may be the next process's, whatever ends this one
-		fd, ferr := dupOf(v.l)
+		v.socket.SetDeadline(time.Unix(1, 0))
+		v.keepPath(true) // once the descriptor is copied, the path may be the next process's, however this one ends
+		fd, ferr := dupDescriptor(v.socket)
 		if ferr != nil {
 			thaw(true)
 			return nil, nil, ferr
 		}
 		h.Listeners = append(h.Listeners, HandedListener{v.dev.Name, fd})
 	}
-	ch := make(chan *frozen)
+	ch := make(chan *freezeReply)
 	n := 0
 	for _, v := range srv.volumes {
 		v.mu.Lock()
-		for s := range v.live {
+		for s := range v.sessions {
 			n++
-			go s.freeze(ch) // ends when the session has answered or ended
+			go s.requestFreeze(ch) // returns when the session has answered or ended
 		}
 		v.mu.Unlock()
 	}
 	for range n {
 		f := <-ch
-		if f == nil { // it ended meanwhile
+		if f == nil { // the session ended in the meantime
 			continue
 		}
 		waiting = append(waiting, f)
@@ -171,12 +171,13 @@
 	return h, thaw, nil
 }
 
-// freeze asks the session's goroutine to stand still at the next end of a message.
-func (s *session) freeze(ch chan<- *frozen) {
-	ask := make(chan *frozen, 1)
+// requestFreeze asks the goroutine of the session to freeze before its next message, and sends its reply to ch, or nil
+// if the session has ended.
+func (s *session) requestFreeze(ch chan<- *freezeReply) {
+	ask := make(chan *freezeReply, 1)
 	select {
-	case s.freezes <- ask:
-	case <-s.over:
+	case s.freezeRequests <- ask:
+	case <-s.done:
 		ch <- nil
 		return
 	}
@@ -184,37 +185,37 @@
 	select {
 	case f := <-ask:
 		ch <- f
-	case <-s.over:
+	case <-s.done:
 		ch <- nil
 	}
 }
 
-// standStill is the session's goroutine's part: it stops the rings, tells what there is, and waits. False where another
-// process has the session.
-func (s *session) standStill(ask chan<- *frozen) (goOn bool) {
-	f := &frozen{s: s, resumed: make(chan bool, 1)}
-	was := make([]bool, len(s.rings))
-	until := time.Now().Add(time.Duration(recall.HandWait) * time.Microsecond)
+// pauseForHandover runs in the goroutine of the session: it stops the rings, replies with the state and waits. It
+// returns false if another process has taken the session over.
+func (s *session) pauseForHandover(ask chan<- *freezeReply) (resume bool) {
+	f := &freezeReply{s: s, resumed: make(chan bool, 1)}
+	wasRunning := make([]bool, len(s.rings))
+	deadline := time.Now().Add(time.Duration(recall.HandWait) * time.Microsecond)
 	for i, v := range s.rings {
 		if v.run != nil {
-			was[i] = true
-			v.halt()
+			wasRunning[i] = true
+			v.stopTaking()
 		}
 	}
 	for _, v := range s.rings {
 		if v.run != nil {
-			v.settle(until)
+			v.drainUntil(deadline)
 		}
 	}
-	f.handed, f.err = s.hand()
+	f.handed, f.err = s.snapshot()
 	ask <- f
-	goOn = <-f.resumed
+	resume = <-f.resumed
 	s.conn.SetReadDeadline(time.Time{})
-	if !goOn {
+	if !resume {
 		return false
 	}
 	for i, v := range s.rings {
-		if was[i] {
+		if wasRunning[i] {
 			if err := v.start(); err != nil {
 				s.fail(err)
 			}
@@ -223,8 +224,8 @@
 	return true
 }
 
-// dupOf duplicates the descriptor of a socket or file that Go waits on, without making it wait in the kernel.
-func dupOf(c syscall.Conn) (fd int, err error) {
+// dupDescriptor duplicates the descriptor of a socket or file that the Go runtime polls, and leaves it non-blocking.
+func dupDescriptor(c syscall.Conn) (fd int, err error) {
 	rc, err := c.SyscallConn()
 	if err != nil {
 		return -1, err
@@ -238,8 +239,8 @@
 
 func dup(fd int) (int, error) { return unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0) }
 
-// hand copies what there is of a session that stands still.
-func (s *session) hand() (h HandedSession, err error) {
+// snapshot copies the state of a frozen session.
+func (s *session) snapshot() (h HandedSession, err error) {
 	h = HandedSession{Volume: s.dev.Name, Conn: -1, Features: s.features, Protocol: s.protocol}
 	all := Handed{Sessions: []HandedSession{h}}
 	defer func() {
@@ -248,7 +249,7 @@
 			all.Close()
 		}
 	}()
-	if h.Conn, err = dupOf(s.conn); err != nil {
+	if h.Conn, err = dupDescriptor(s.conn); err != nil {
 		return h, err
 	}
 	for i := range s.memory.regions {
@@ -260,14 +261,14 @@
 		h.Regions = append(h.Regions, HandedRegion{r.gpa, r.size, r.uva, r.offset, fd})
 	}
 	for _, v := range s.rings {
-		x := HandedRing{Num: v.num, Desc: v.descAt, Avail: v.availAt, Used: v.usedAt, Placed: v.placed, Enabled: v.enabled, Started: v.started,
+		x := HandedRing{Num: v.num, Desc: v.descAt, Avail: v.availAt, Used: v.usedAt, Placed: v.hasAddresses, Enabled: v.enabled, Started: v.kicked,
 			Polled: v.polled, Base: v.base, Kick: -1, Call: -1, Err: -1}
 		if v.kick != nil {
-			if x.Kick, err = dupOf(v.kick); err != nil {
+			if x.Kick, err = dupDescriptor(v.kick); err != nil {
 				return h, err
 			}
 		}
-		for _, p := range []struct{ from, to *int }{{&v.call, &x.Call}, {&v.errFD, &x.Err}} {
+		for _, p := range []struct{ from, to *int }{{&v.callFD, &x.Call}, {&v.errFD, &x.Err}} {
 			if *p.from >= 0 {
 				if *p.to, err = dup(*p.from); err != nil {
 					return h, err
@@ -281,14 +282,14 @@
 		if err != nil {
 			return h, err
 		}
-		h.Inflight = &HandedInflight{uint64(len(f.mem)), f.offset, f.queues, f.entries, f.client, fd}
+		h.Inflight = &HandedInflight{uint64(len(f.mem)), f.offset, f.queues, f.entries, f.clientOwned, fd}
 	}
 	return h, nil
 }
 
-// Adopt makes a server of what an earlier process has handed over. Volumes that had no listener there are opened,
-// listeners of volumes that are not in the settings any more are closed with their clients. Nothing is taken off a ring
-// before Serve.
+// Adopt builds a server from what an earlier process has handed over. Volumes without a listener there get a new one;
+// listeners of volumes that are no longer in the settings are closed, and so are their clients. No request is taken off
+// a ring before Serve.
 func Adopt(srv *Server, cfg *settings.Config, h *Handed) error {
 	byName := map[string]*listener{}
 	for i := range cfg.Volumes {
@@ -296,7 +297,7 @@
 		if v.Socket == "" {
 			continue
 		}
-		l := &listener{dev: device{v, i, cfg.Bounds.MostBytes}, live: map[*session]bool{}}
+		l := &listener{dev: device{v, i, cfg.Bounds.MostBytes}, sessions: map[*session]bool{}}
 		for j := range h.Listeners {
 			if x := &h.Listeners[j]; x.Volume == v.Name && x.FD >= 0 {
 				f := os.NewFile(uintptr(x.FD), "listener")
@@ -306,14 +307,14 @@
 				if err != nil {
 					return fmt.Errorf("volume %q: %w", v.Name, err)
 				}
-				l.l = g.(*net.UnixListener)
-				l.l.SetUnlinkOnClose(true)
-				l.l.SetDeadline(time.Time{})
+				l.socket = g.(*net.UnixListener)
+				l.socket.SetUnlinkOnClose(true)
+				l.socket.SetDeadline(time.Time{})
 			}
 		}
-		if l.l == nil {
+		if l.socket == nil {
 			var err error
-			if l.l, err = listen(v.Socket); err != nil {
+			if l.socket, err = listen(v.Socket); err != nil {
 				return fmt.Errorf("volume %q: %w", v.Name, err)
 			}
 		}
@@ -324,7 +325,7 @@
 		x := &h.Sessions[i]
 		l := byName[x.Volume]
 		if l == nil || len(x.Rings) > l.dev.Queues {
-			continue // closed with what is left
+			continue // closed with the remaining descriptors
 		}
 		s, err := srv.adoptSession(l, x)
 		if err != nil {
@@ -335,19 +336,19 @@
 	return nil
 }
 
-// Drop lets go of what was adopted and is not to be served after all, without a trace: the process that handed it over
-// still has it.
+// Drop releases what was adopted but will not be served. Clients and paths are left untouched, as the process that
+// handed them over still serves them.
 func (srv *Server) Drop() {
 	for _, l := range srv.volumes {
 		l.keepPath(true)
 		l.close()
 		for _, s := range l.adopted {
 			for _, v := range s.rings {
-				v.leave()
-				s.dropCalls(v)
+				v.abandon()
+				s.closeCallFDs(v)
 			}
 			s.memory.clear()
-			s.dropInflight()
+			s.closeInflight()
 			s.conn.Close()
 		}
 		l.adopted = nil
@@ -355,7 +356,7 @@
 	srv.volumes = nil
 }
 
-// adoptSession makes a session whose rings stand still.
+// adoptSession creates a session whose rings are stopped.
 func (srv *Server) adoptSession(l *listener, x *HandedSession) (*session, error) {
 	f := os.NewFile(uintptr(x.Conn), "client")
 	x.Conn = -1
@@ -366,7 +367,7 @@
 	}
 	s := newSession(srv.ctx, srv, &l.dev, c.(*net.UnixConn), srv.log.With(zap.String("volume", l.dev.Name), zap.String("client", "taken over")))
 	s.conn.SetReadDeadline(time.Time{})
-	s.features, s.acked, s.protocol = x.Features, true, x.Protocol
+	s.features, s.featuresSet, s.protocol = x.Features, true, x.Protocol
 	for i := range x.Regions {
 		r := &x.Regions[i]
 		if err := s.memory.add(r.GPA, r.Size, r.UVA, r.Offset, r.FD); err != nil {
@@ -377,32 +378,32 @@
 		if s.inflight, err = openInflight(i.FD, i.Size, i.Offset, i.Queues, i.Entries); err != nil {
 			return nil, err
 		}
-		s.inflight.client = i.Client
+		s.inflight.clientOwned = i.Client
 	}
 	for i := range x.Rings {
 		r, v := &x.Rings[i], s.rings[i]
-		v.num, v.descAt, v.availAt, v.usedAt, v.placed = r.Num, r.Desc, r.Avail, r.Used, r.Placed
-		v.base, v.enabled, v.started, v.polled = r.Base, r.Enabled, r.Started, r.Polled
+		v.num, v.descAt, v.availAt, v.usedAt, v.hasAddresses = r.Num, r.Desc, r.Avail, r.Used, r.Placed
+		v.base, v.enabled, v.kicked, v.polled = r.Base, r.Enabled, r.Started, r.Polled
 		if r.Kick >= 0 {
 			if err := unix.SetNonblock(r.Kick, true); err != nil {
 				return nil, err
 			}
 			v.kick, r.Kick = os.NewFile(uintptr(r.Kick), "kick"), -1
 		}
-		v.call, r.Call = r.Call, -1
+		v.callFD, r.Call = r.Call, -1
 		v.errFD, r.Err = r.Err, -1
 	}
 	return s, nil
 }
 
-// begin starts the rings of a session that was taken over.
-func (s *session) begin() error {
+// startRings starts the rings of a session that was taken over.
+func (s *session) startRings() error {
 	for _, v := range s.rings {
 		if err := v.start(); err != nil {
 			return err
 		}
 		if v.run != nil {
-			s.signal(&v.call) // answers may have been published without a call
+			s.signal(&v.callFD) // answers may have been published without a signal
 		}
 	}
 	return nil
--- a/internal/front/ring/handover_test.go
+++ b/internal/front/ring/handover_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// Once another process may have the listeners, one that ends must not take their path away from it.
+// Once another process may have the listeners, a process that shuts down must not unlink their paths.
 func TestFrozenServerLeavesThePathAsItEnds(t *testing.T) {
 	h := open(t, true)
 	_, thaw, err := h.srv.Freeze()
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.srv.StopTaking() // told to end, in the moment between the word to the other process and the thaw
+	h.srv.StopTaking() // shut down between the message to the other process and the thaw
 	_, err = os.Stat(h.path)
 	if thaw(false); err != nil {
-		t.Errorf("the path that the other process serves is gone: %v", err)
+		t.Errorf("the path that the other process serves was removed: %v", err)
 	}
 }
 
@@ -29,6 +29,6 @@
 	h.dial()
 	h.srv.StopTaking()
 	if _, err := os.Stat(h.path); err == nil {
-		t.Error("the path is left behind")
+		t.Error("the path was not removed")
 	}
 }
--- a/internal/front/ring/inflight_test.go
+++ b/internal/front/ring/inflight_test.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// region asks for an inflight region, as a front-end does once.
-func (r *raw) region() (fd int, payload []byte) {
+// getInflight requests an inflight region, as a front-end does once.
+func (r *client) getInflight() (fd int, payload []byte) {
 	r.t.Helper()
-	r.send(31, append(quads(0, 0), 1, 0, num, 0))
+	r.send(31, append(u64s(0, 0), 1, 0, num, 0))
 	var b [32]byte
 	oob := make([]byte, unix.CmsgSpace(4))
 	r.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -31,10 +31,11 @@
 	return fds[0], b[12:]
 }
 
-// one puts a request of one indirect descriptor at a head: its table, header, data and status are in a page of its own.
-func (r *raw) one(head int, kind uint32, sector uint64) {
+// putRequest puts a request with one indirect descriptor at a head. Each head has its own pages for the table, header,
+// data and status.
+func (r *client) putRequest(head int, kind uint32, sector uint64) {
 	at := dataAt + head*8192
-	r.header(at+64, kind, sector)
+	r.putHeader(at+64, kind, sector)
 	r.mem[at+4096] = 0xff
 	flags, size := uint16(0), uint32(512)
 	switch kind {
@@ -51,10 +52,11 @@
 	r.put(descAt, head, desc{uint64(at), 48, 4, 0})
 }
 
-func (r *raw) status(head int) byte { return r.mem[dataAt+head*8192+4096] }
+func (r *client) status(head int) byte { return r.mem[dataAt+head*8192+4096] }
 
-// again is the same client after its gateway was killed: new connection, same memory, rings and region.
-func (r *raw) again(h *house, fd int, payload []byte) *raw {
+// reconnect returns the same client after its gateway was killed: a new connection with the same memory, rings and
+// region.
+func (r *client) reconnect(h *harness, fd int, payload []byte) *client {
 	n := h.dial()
 	unix.Munmap(n.mem)
 	unix.Close(n.fd)
@@ -63,19 +65,19 @@
 	r.conn.Close()
 	unix.Close(r.kick)
 	unix.Close(r.call)
-	n.send(2, quads(features))
-	n.send(16, quads(1<<12))
-	n.send(5, append(words(1, 0), quads(base, memSize, user, 0)...), n.fd)
+	n.send(2, u64s(features))
+	n.send(16, u64s(1<<12))
+	n.send(5, append(u32s(1, 0), u64s(base, memSize, user, 0)...), n.fd)
 	n.send(32, payload, fd)
-	n.ring(uint32(n.usedIdx()))
-	n.kickIt()
+	n.setUpRing(uint32(n.usedIdx()))
+	n.sendKick()
 	return n
 }
 
-// used checks that each head has exactly one entry in the used ring.
-func (r *raw) used(heads ...int) {
+// checkUsed checks that each head has exactly one entry in the used ring.
+func (r *client) checkUsed(heads ...int) {
 	r.t.Helper()
-	wait(r.t, "all answers", func() bool { return int(r.usedIdx()) >= len(heads) })
+	waitFor(r.t, "all answers", func() bool { return int(r.usedIdx()) >= len(heads) })
 	time.Sleep(20 * time.Millisecond)
 	seen := map[uint32]int{}
 	for i := range int(r.usedIdx()) {
@@ -91,7 +93,7 @@
 	}
 }
 
-func (b *back) kinds() (k []block.Kind) {
+func (b *fakeNodes) kinds() (k []block.Kind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, a := range b.held {
@@ -100,54 +102,55 @@
 	return k
 }
 
-// After a kill what was never sent is sent, what may have run follows its class, and each request is answered once:
-// here two were out at the node, a safe read and an unsafe discard, and two had not left.
+// After a kill, requests that were never sent are sent, requests that may have run follow the rules of their class, and
+// each request is answered once. Here two requests were in flight at the node, a safe read and an unsafe discard, and
+// two had not been sent.
 func TestInflight(t *testing.T) {
 	h := open(t, false)
 	r := h.dial()
-	r.ready()
-	r.send(18, words(0, 0))
-	fd, payload := r.region()
-	r.ring(0)
+	r.setUp()
+	r.send(18, u32s(0, 0))
+	fd, payload := r.getInflight()
+	r.setUpRing(0)
 	for i, kind := range []uint32{0, 11, 1, 0} {
-		r.one(i, kind, uint64(i)*8)
+		r.putRequest(i, kind, uint64(i)*8)
 		r.publish(uint16(i))
 		if i < 2 {
-			wait(t, "the request at the node", func() bool { return h.b.waiting() == i+1 })
+			waitFor(t, "the request at the node", func() bool { return h.b.heldCount() == i+1 })
 		}
 	}
-	time.Sleep(20 * time.Millisecond) // taken, and held back by the node's window
+	time.Sleep(20 * time.Millisecond) // taken, but held back by the window of the node
 	if got := h.b.kinds(); len(got) != 2 {
-		t.Fatalf("out at the node: %v", got)
+		t.Fatalf("in flight at the node: %v", got)
 	}
 	next := open(t, false)
-	n := r.again(next, fd, payload)
-	wait(t, "two at the new node", func() bool { return next.b.waiting() == 2 })
-	wait(t, "all answers", func() bool { next.b.end(logic.OK); return n.usedIdx() == 4 })
-	n.used(0, 1, 2, 3)
+	n := r.reconnect(next, fd, payload)
+	waitFor(t, "two at the new node", func() bool { return next.b.heldCount() == 2 })
+	waitFor(t, "all answers", func() bool { next.b.complete(logic.OK); return n.usedIdx() == 4 })
+	n.checkUsed(0, 1, 2, 3)
 	for head, want := range map[int]byte{0: 0, 1: 1, 2: 0, 3: 0} {
 		if got := n.status(head); got != want {
 			t.Errorf("head %d: status %d, want %d", head, got, want)
 		}
 	}
-	n.one(5, 0, 0)
+	n.putRequest(5, 0, 0)
 	n.publish(5)
-	wait(t, "the ring goes on", func() bool { next.b.end(logic.OK); return n.usedIdx() == 5 })
+	waitFor(t, "the ring goes on", func() bool { next.b.complete(logic.OK); return n.usedIdx() == 5 })
 }
 
-// A keyed write that may have run goes out again under the key of its first attempt while the nodes remember it, and
+// A keyed write that may have run is sent again with the key of its first attempt while the nodes remember the key, and
 // never afterwards.
 func TestInflightKeyed(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		h := open(t, false)
 		r := h.dial()
-		r.ready()
-		r.send(18, words(0, 0))
-		fd, payload := r.region()
-		r.ring(0)
-		r.one(2, 1, 16)
+		r.setUp()
+		r.send(18, u32s(0, 0))
+		fd, payload := r.getInflight()
+		r.setUpRing(0)
+		r.putRequest(2, 1, 16)
 		r.publish(2)
-		wait(t, "the write at the node", func() bool { return h.b.waiting() == 1 })
+		waitFor(t, "the write at the node", func() bool { return h.b.heldCount() == 1 })
 		h.b.mu.Lock()
 		key := h.b.held[0].Key
 		h.b.mu.Unlock()
@@ -155,33 +158,33 @@
 			time.Sleep(450 * time.Millisecond) // of 600, with a margin of 200
 		}
 		next := open(t, false)
-		n := r.again(next, fd, payload)
+		n := r.reconnect(next, fd, payload)
 		if late {
-			n.used(2)
-			if n.status(2) != 1 || next.b.waiting() != 0 {
-				t.Errorf("forgotten by the nodes: status %d, %d sent", n.status(2), next.b.waiting())
+			n.checkUsed(2)
+			if n.status(2) != 1 || next.b.heldCount() != 0 {
+				t.Errorf("key no longer remembered: status %d, %d sent", n.status(2), next.b.heldCount())
 			}
 			continue
 		}
-		wait(t, "the write at the new node", func() bool { return next.b.waiting() == 1 })
+		waitFor(t, "the write at the new node", func() bool { return next.b.heldCount() == 1 })
 		next.b.mu.Lock()
 		again := next.b.held[0].Key
 		next.b.mu.Unlock()
 		if key == 0 || again != key {
-			t.Errorf("key %#x, the first attempt had %#x", again, key)
+			t.Errorf("key %#x, want %#x as in the first attempt", again, key)
 		}
-		next.b.end(logic.OK)
-		n.used(2)
+		next.b.complete(logic.OK)
+		n.checkUsed(2)
 	}
 }
 
-// A region that is too small, foreign, or scribbled on: refused with the client closed, or used as far as it can be
-// relied on, which makes everything that was taken count as what may have run.
+// A region that is too small or damaged is either rejected, which closes the client, or used as far as it can be
+// trusted. Without a valid trailer every request taken counts as one that may have run.
 func TestInflightDamaged(t *testing.T) {
 	for name, c := range map[string]struct {
 		harm    func(mem []byte, payload []byte)
 		closed  bool
-		discard byte // status of a discard that was never sent: relied on 0, else 1
+		discard byte // status of a discard that was never sent: 0 if the trailer is trusted, else 1
 	}{
 		"as it was":            {func([]byte, []byte) {}, false, 0},
 		"trailer scribbled on": {func(mem, _ []byte) { mem[192+3] ^= 1 }, false, 1},
@@ -196,15 +199,15 @@
 		t.Run(name, func(t *testing.T) {
 			h := open(t, false)
 			r := h.dial()
-			r.ready()
-			r.send(18, words(0, 0))
-			fd, payload := r.region()
-			r.ring(0)
+			r.setUp()
+			r.send(18, u32s(0, 0))
+			fd, payload := r.getInflight()
+			r.setUpRing(0)
 			for i, kind := range []uint32{0, 0, 11} {
-				r.one(i, kind, uint64(i)*8)
+				r.putRequest(i, kind, uint64(i)*8)
 				r.publish(uint16(i))
 			}
-			wait(t, "two at the node", func() bool { return h.b.waiting() == 2 })
+			waitFor(t, "two at the node", func() bool { return h.b.heldCount() == 2 })
 			time.Sleep(20 * time.Millisecond)
 			mem, err := unix.Mmap(fd, 0, int(binary.LittleEndian.Uint64(payload)), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 			if err != nil {
@@ -212,18 +215,18 @@
 			}
 			defer unix.Munmap(mem)
 			if unix.Ftruncate(fd, 0) == nil {
-				t.Error("the region can be cut short")
+				t.Error("the region can be truncated")
 			}
 			c.harm(mem, payload)
 			next := open(t, true)
-			n := r.again(next, fd, payload)
+			n := r.reconnect(next, fd, payload)
 			if c.closed {
-				if !n.closed() {
+				if !n.awaitClose() {
 					t.Error("not closed")
 				}
 				return
 			}
-			n.used(0, 1, 2)
+			n.checkUsed(0, 1, 2)
 			if n.status(0) != 0 || n.status(2) != c.discard {
 				t.Errorf("statuses %d and %d, want 0 and %d", n.status(0), n.status(2), c.discard)
 			}
--- a/internal/front/ring/memory.go
+++ b/internal/front/ring/memory.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// region is a run of a client's memory.
+// region is a contiguous range of the client's memory.
 type region struct {
 	gpa, size, uva uint64
 	mem            []byte // size bytes at gpa
-	mapped         []byte // what was mapped, from the file's start
+	mapped         []byte // the whole mapping, from the start of the file
 	offset         uint64
-	fd             int // ours, for a process that takes over
+	fd             int // a duplicate, handed to a process that takes over
 }
 
 func (r *region) close() {
@@ -22,21 +22,21 @@
 	unix.Close(r.fd)
 }
 
-// memory is all that a client has shared. It is read and written only by copying, by goroutines in which a fault
-// is an error and not the end of the process: the client may cut its file short at any time.
+// memory is all memory that a client has shared. It is accessed only by copying, in goroutines that turn a fault into
+// an error instead of a crash: the client may truncate its file at any time.
 type memory struct {
-	regions []region // by gpa
-	total   uint64
-	most    uint64
+	regions  []region // sorted by gpa
+	total    uint64
+	maxTotal uint64
 }
 
-// add maps one region; the descriptor stays the caller's.
+// add maps one region. The caller keeps ownership of the descriptor.
 func (m *memory) add(gpa, size, uva, offset uint64, fd int) error {
 	if size == 0 || gpa+size < gpa || uva+size < uva || offset+size < offset || offset+size > 1<<62 {
-		return fmt.Errorf("memory region of %d bytes at %#x cannot be", size, gpa)
+		return fmt.Errorf("memory region of %d bytes at %#x is empty or out of range", size, gpa)
 	}
-	if m.total+size > m.most || size > m.most {
-		return fmt.Errorf("memory region of %d bytes at %#x passes the bound of %d bytes for a client", size, gpa, m.most)
+	if m.total+size > m.maxTotal || size > m.maxTotal {
+		return fmt.Errorf("memory region of %d bytes at %#x exceeds the limit of %d bytes per client", size, gpa, m.maxTotal)
 	}
 	for _, r := range m.regions {
 		if gpa < r.gpa+r.size && r.gpa < gpa+size {
@@ -48,19 +48,19 @@
 		return fmt.Errorf("memory region at %#x: %w", gpa, err)
 	}
 	if st.Mode&unix.S_IFMT == unix.S_IFREG && uint64(st.Size) < offset+size {
-		return fmt.Errorf("memory region of %d bytes at %#x: its file has %d bytes and it lies at %d", size, gpa, st.Size, offset)
+		return fmt.Errorf("memory region of %d bytes at %#x: file has %d bytes, region starts at offset %d", size, gpa, st.Size, offset)
 	}
-	// From the file's start, as an offset need not lie on a boundary that mmap takes.
+	// Mapped from the start of the file, because the offset need not be page-aligned as mmap requires.
 	b, err := unix.Mmap(fd, 0, int(offset+size), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED|unix.MAP_NORESERVE)
 	if err != nil {
 		return fmt.Errorf("memory region of %d bytes at %#x: mmap: %w", size, gpa, err)
 	}
-	own, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+	dupFD, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		unix.Munmap(b)
 		return fmt.Errorf("memory region of %d bytes at %#x: %w", size, gpa, err)
 	}
-	m.regions = append(m.regions, region{gpa, size, uva, b[offset:], b, offset, own})
+	m.regions = append(m.regions, region{gpa, size, uva, b[offset:], b, offset, dupFD})
 	m.total += size
 	slices.SortFunc(m.regions, func(a, b region) int {
 		if a.gpa < b.gpa {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// remove unmaps the region that is exactly this one.
+// remove unmaps the region that has exactly this address, size and user address.
 func (m *memory) remove(gpa, size, uva uint64) error {
 	for i, r := range m.regions {
 		if r.gpa == gpa && r.size == size && r.uva == uva {
@@ -91,8 +91,8 @@
 	m.regions, m.total = nil, 0
 }
 
-// guest is as much of [gpa, gpa+n) as lies in one region.
-func (m *memory) guest(gpa, n uint64) ([]byte, error) {
+// guestRange returns the longest prefix of [gpa, gpa+n) that lies in one region.
+func (m *memory) guestRange(gpa, n uint64) ([]byte, error) {
 	for i := range m.regions {
 		if r := &m.regions[i]; gpa >= r.gpa && gpa-r.gpa < r.size {
 			at := gpa - r.gpa
@@ -102,8 +102,9 @@
 	return nil, fmt.Errorf("%#x: %w", gpa, errNotMapped)
 }
 
-// user is [uva, uva+n), which must lie in one region: rings are told by the front-end's own addresses.
-func (m *memory) user(uva, n uint64) ([]byte, error) {
+// userRange returns [uva, uva+n), which must lie in one region. The front-end gives ring addresses in its own address
+// space.
+func (m *memory) userRange(uva, n uint64) ([]byte, error) {
 	for i := range m.regions {
 		if r := &m.regions[i]; uva >= r.uva && uva-r.uva < r.size && n <= r.size-(uva-r.uva) {
 			at := uva - r.uva
@@ -113,13 +114,13 @@
 	return nil, fmt.Errorf("ring of %d bytes at %#x: %w", n, uva, errNotMapped)
 }
 
-// has tells whether all of [gpa, gpa+n) is mapped.
-func (m *memory) has(gpa, n uint64) error {
+// checkMapped returns an error unless all of [gpa, gpa+n) is mapped.
+func (m *memory) checkMapped(gpa, n uint64) error {
 	if gpa+n < gpa {
-		return fmt.Errorf("%d bytes at %#x wrap around", n, gpa)
+		return fmt.Errorf("%d bytes at %#x wrap around the address space", n, gpa)
 	}
 	for n > 0 {
-		b, err := m.guest(gpa, n)
+		b, err := m.guestRange(gpa, n)
 		if err != nil {
 			return err
 		}
@@ -128,28 +129,29 @@
 	return nil
 }
 
-// seg is a run of guest memory that a descriptor names.
+// seg is a range of guest memory that a descriptor refers to.
 type seg struct {
 	gpa uint64
 	len uint32
 }
 
-// copyOut copies from the guest the bytes [from, from+len(dst)) of the segments.
+// copyOut copies the bytes [from, from+len(dst)) of the segments from guest memory to dst.
 func (m *memory) copyOut(dst []byte, segs []seg, from uint64) error {
-	return m.each(segs, from, uint64(len(dst)), func(b []byte) { dst = dst[copy(dst, b):] })
+	return m.eachChunk(segs, from, uint64(len(dst)), func(b []byte) { dst = dst[copy(dst, b):] })
 }
 
-// copyIn copies src to the guest at byte from of the segments.
+// copyIn copies src to guest memory, starting at byte from of the segments.
 func (m *memory) copyIn(segs []seg, from uint64, src []byte) error {
-	return m.each(segs, from, uint64(len(src)), func(b []byte) { src = src[copy(b, src):] })
+	return m.eachChunk(segs, from, uint64(len(src)), func(b []byte) { src = src[copy(b, src):] })
 }
 
-// zero clears n bytes of the guest's.
+// zero clears n bytes of guest memory, starting at byte from of the segments.
 func (m *memory) zero(segs []seg, from, n uint64) error {
-	return m.each(segs, from, n, func(b []byte) { clear(b) })
+	return m.eachChunk(segs, from, n, func(b []byte) { clear(b) })
 }
 
-func (m *memory) each(segs []seg, from, n uint64, f func(b []byte)) error {
+// eachChunk calls f for each contiguous mapped piece of the bytes [from, from+n) of the segments.
+func (m *memory) eachChunk(segs []seg, from, n uint64, f func(b []byte)) error {
 	for _, s := range segs {
 		if n == 0 {
 			return nil
@@ -163,7 +165,7 @@
 		from = 0
 		n -= left
 		for left > 0 {
-			b, err := m.guest(gpa, left)
+			b, err := m.guestRange(gpa, left)
 			if err != nil {
 				return err
 			}
@@ -172,21 +174,21 @@
 		}
 	}
 	if n > 0 {
-		return fmt.Errorf("a request's buffers are %d bytes short", n)
+		return fmt.Errorf("request buffers are %d bytes too short", n)
 	}
 	return nil
 }
 
-// fault turns a fault on mapped memory into an error; any other panic goes on. For use in a deferred call, in a
-// goroutine with debug.SetPanicOnFault.
-func fault(err *error) {
+// recoverFault turns a fault on mapped memory into an error; any other panic is raised again. It must be deferred, in a
+// goroutine that has called debug.SetPanicOnFault.
+func recoverFault(err *error) {
 	switch r := recover().(type) {
 	case nil:
 	case interface {
 		runtime.Error
 		Addr() uintptr
 	}:
-		*err = fmt.Errorf("the client's memory went away: %w", r)
+		*err = fmt.Errorf("client memory is no longer accessible: %w", r)
 	default:
 		panic(r)
 	}
--- a/internal/front/ring/raw_test.go
+++ b/internal/front/ring/raw_test.go
@@ -38,15 +38,15 @@
         [dict(kind = "write", class_ = "keyed"), dict(kind = "discard", class_ = "unsafe")])
 `
 
-// back is the nodes: it holds what it is given until the test says how it ends, or answers at once.
-type back struct {
+// fakeNodes stands for the nodes: it holds each attempt until the test completes it, or answers at once.
+type fakeNodes struct {
 	e    *engine.Engine
 	auto bool
 	mu   sync.Mutex
 	held []*block.Attempt
 }
 
-func (b *back) Start(a *block.Attempt) {
+func (b *fakeNodes) Start(a *block.Attempt) {
 	b.mu.Lock()
 	auto := b.auto
 	if !auto {
@@ -58,10 +58,10 @@
 	}
 }
 
-func (b *back) Drop(*block.Attempt) {}
+func (b *fakeNodes) Drop(*block.Attempt) {}
 
-// end lets all that is held end.
-func (b *back) end(o logic.Outcome) int {
+// complete ends all held attempts and returns their number.
+func (b *fakeNodes) complete(o logic.Outcome) int {
 	b.mu.Lock()
 	held := b.held
 	b.held = nil
@@ -72,17 +72,17 @@
 	return len(held)
 }
 
-func (b *back) waiting() int { b.mu.Lock(); defer b.mu.Unlock(); return len(b.held) }
+func (b *fakeNodes) heldCount() int { b.mu.Lock(); defer b.mu.Unlock(); return len(b.held) }
 
-// house is a ring server with an engine and such nodes.
-type house struct {
+// harness is a ring server with an engine and fake nodes.
+type harness struct {
 	t    *testing.T
-	b    *back
+	b    *fakeNodes
 	path string
 	srv  *ring.Server
 }
 
-func open(t *testing.T, auto bool) *house {
+func open(t *testing.T, auto bool) *harness {
 	t.Helper()
 	dir := t.TempDir()
 	file := filepath.Join(dir, "x.star")
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &back{e: e, auto: auto}
+	b := &fakeNodes{e: e, auto: auto}
 	e.SetBack(b)
 	e.Nodes([]logic.Node{{ID: 1, State: logic.Ready}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,21 +110,21 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		b.end(logic.Reset)
+		b.complete(logic.Reset)
 		if n := srv.Owed(); n != 0 {
-			t.Errorf("%d answers are owed with nobody left", n)
+			t.Errorf("%d requests counted as unanswered after all sessions ended", n)
 		}
 		if x := e.Tally(); x.Attempts != 0 || x.Ops != 0 {
-			t.Errorf("left behind: %+v", x)
+			t.Errorf("attempts or ops left: %+v", x)
 		}
 		e.Close()
 	})
-	return &house{t: t, b: b, path: cfg.Volumes[0].Socket, srv: srv}
+	return &harness{t: t, b: b, path: cfg.Volumes[0].Socket, srv: srv}
 }
 
-// raw is a front-end that can be made to do anything wrong. It has one queue of 8 entries in one page each, and data
-// from dataAt on.
-type raw struct {
+// client is a front-end that can violate the protocol in any way. It has one queue of 8 entries, whose areas take
+// one page each, and data from dataAt on.
+type client struct {
 	t          *testing.T
 	conn       *net.UnixConn
 	fd         int
@@ -141,16 +141,16 @@
 	dataAt  = 12288
 	memSize = 1 << 20
 	base    = 0x1000_0000 // guest address of the memory
-	user    = 0x7000_0000 // what the front-end calls its own address
+	user    = 0x7000_0000 // address of the memory in the address space of the front-end
 )
 
-func (h *house) dial() *raw {
+func (h *harness) dial() *client {
 	h.t.Helper()
 	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: h.path, Net: "unix"})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	r := &raw{t: h.t, conn: c}
+	r := &client{t: h.t, conn: c}
 	if r.fd, err = unix.MemfdCreate("raw", unix.MFD_CLOEXEC); err != nil {
 		h.t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	return r
 }
 
-func (r *raw) close() {
+func (r *client) close() {
 	r.conn.Close()
 	if r.mem != nil {
 		unix.Munmap(r.mem)
@@ -182,21 +182,21 @@
 	return append(b, payload...)
 }
 
-func quads(v ...uint64) (b []byte) {
+func u64s(v ...uint64) (b []byte) {
 	for _, x := range v {
 		b = binary.LittleEndian.AppendUint64(b, x)
 	}
 	return b
 }
 
-func words(v ...uint32) (b []byte) {
+func u32s(v ...uint32) (b []byte) {
 	for _, x := range v {
 		b = binary.LittleEndian.AppendUint32(b, x)
 	}
 	return b
 }
 
-func (r *raw) send(request uint32, payload []byte, fds ...int) {
+func (r *client) send(request uint32, payload []byte, fds ...int) {
 	var oob []byte
 	if len(fds) > 0 {
 		oob = unix.UnixRights(fds...)
@@ -206,21 +206,21 @@
 
 const features = 1<<32 | 1<<30 | 1<<28
 
-// ready sets everything up; the steps are those of a driver.
-func (r *raw) ready() {
-	r.send(2, quads(features))
-	r.send(16, quads(1<<3))
-	r.send(5, append(words(1, 0), quads(base, memSize, user, 0)...), r.fd)
-	r.ring(0)
+// setUp configures features, memory and the ring in the order of a usual driver.
+func (r *client) setUp() {
+	r.send(2, u64s(features))
+	r.send(16, u64s(1<<3))
+	r.send(5, append(u32s(1, 0), u64s(base, memSize, user, 0)...), r.fd)
+	r.setUpRing(0)
 }
 
-func (r *raw) ring(last uint32) {
-	r.send(8, words(0, num))
-	r.send(10, words(0, last))
-	r.send(9, append(words(0, 0), quads(user+descAt, user+usedAt, user+availAt, 0)...))
-	r.send(13, quads(0), r.call)
-	r.send(12, quads(0), r.kick)
-	r.send(18, words(0, 1))
+func (r *client) setUpRing(last uint32) {
+	r.send(8, u32s(0, num))
+	r.send(10, u32s(0, last))
+	r.send(9, append(u32s(0, 0), u64s(user+descAt, user+usedAt, user+availAt, 0)...))
+	r.send(13, u64s(0), r.call)
+	r.send(12, u64s(0), r.kick)
+	r.send(18, u32s(0, 1))
 }
 
 type desc struct {
@@ -230,7 +230,7 @@
 	next  uint16
 }
 
-func (r *raw) put(table, i int, d desc) {
+func (r *client) put(table, i int, d desc) {
 	b := r.mem[table+16*i:]
 	binary.LittleEndian.PutUint64(b, base+d.at)
 	binary.LittleEndian.PutUint32(b[8:], d.n)
@@ -238,49 +238,50 @@
 	binary.LittleEndian.PutUint16(b[14:], d.next)
 }
 
-func (r *raw) publish(head uint16) {
+func (r *client) publish(head uint16) {
 	binary.LittleEndian.PutUint16(r.mem[availAt+4+2*int(r.avail%num):], head)
 	r.avail++
-	r.index(r.avail)
+	r.setAvailIdx(r.avail)
 }
 
-func (r *raw) index(idx uint16) {
+func (r *client) setAvailIdx(idx uint16) {
 	binary.LittleEndian.PutUint16(r.mem[availAt+2:], idx)
-	r.kickIt()
+	r.sendKick()
 }
 
-func (r *raw) kickIt() { unix.Write(r.kick, quads(1)) }
+func (r *client) sendKick() { unix.Write(r.kick, u64s(1)) }
 
-// header writes a request header; read is a plain read of 512 bytes in descriptors i to i+2.
-func (r *raw) header(at int, kind uint32, sector uint64) {
+// putHeader writes a request header.
+func (r *client) putHeader(at int, kind uint32, sector uint64) {
 	binary.LittleEndian.PutUint32(r.mem[at:], kind)
 	binary.LittleEndian.PutUint64(r.mem[at+8:], sector)
 }
 
-func (r *raw) read(i int) {
+// putRead writes a read of 512 bytes in descriptors i to i+2.
+func (r *client) putRead(i int) {
 	at := dataAt + i*2048
-	r.header(at, 0, uint64(i))
+	r.putHeader(at, 0, uint64(i))
 	r.mem[at+1024] = 0xff
 	r.put(descAt, i, desc{uint64(at), 16, 1, uint16(i + 1)})
 	r.put(descAt, i+1, desc{uint64(at + 512), 512, 3, uint16(i + 2)})
 	r.put(descAt, i+2, desc{uint64(at + 1024), 1, 2, 0})
 }
 
-func (r *raw) usedIdx() uint16 { return binary.LittleEndian.Uint16(r.mem[usedAt+2:]) }
+func (r *client) usedIdx() uint16 { return binary.LittleEndian.Uint16(r.mem[usedAt+2:]) }
 
-// closed waits for the gateway to close the connection.
-func (r *raw) closed() bool {
+// awaitClose waits for the gateway to close the connection and reports whether it did.
+func (r *client) awaitClose() bool {
 	r.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 	_, err := io.Copy(io.Discard, r.conn)
 	var ne net.Error
 	return err == nil || !(errors.As(err, &ne) && ne.Timeout())
 }
 
-func wait(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/front/ring/server.go
+++ b/internal/front/ring/server.go
@@ -19,51 +19,51 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// mostSessions bounds the clients of one volume at a time; further ones wait in the socket's backlog.
-const mostSessions = 8
+// maxSessions bounds the concurrent clients of one volume; further clients wait in the backlog of the socket.
+const maxSessions = 8
 
 // Server listens for the clients of all volumes.
 type Server struct {
 	cfg        *settings.Config
 	engine     *engine.Engine
 	log        *zap.Logger
-	mostMemory int64
+	maxMemory  int64
 	volumes    []*listener
-	ctx        context.Context // ends all sessions
-	frozen     atomic.Bool     // nobody is let in, for now
-	handed     atomic.Bool     // another process has it all
-	owed       atomic.Int64    // requests taken whose answers are not on their rings
-	Sessions   atomic.Int64    // now
-	Ended      atomic.Int64    // with an error, since the start
+	ctx        context.Context // cancelling it ends all sessions
+	frozen     atomic.Bool     // set while accepting is suspended
+	handedOver atomic.Bool     // another process has taken over
+	unanswered atomic.Int64    // requests taken whose answers are not yet on their rings
+	Sessions   atomic.Int64    // open now
+	Ended      atomic.Int64    // sessions that ended with an error, since the start
 }
 
 type listener struct {
-	dev   device
-	l     *net.UnixListener
-	mu    sync.Mutex
-	live  map[*session]bool
-	drain bool
+	dev      device
+	socket   *net.UnixListener
+	mu       sync.Mutex
+	sessions map[*session]bool
+	draining bool
 
-	adopted []*session // taken over, not begun
+	adopted []*session // taken over from another process, not yet started
 }
 
-// close lets no client in any more.
+// close stops accepting clients.
 func (v *listener) close() {
 	v.mu.Lock()
-	v.l.Close()
+	v.socket.Close()
 	v.mu.Unlock()
 }
 
-// keepPath says whether the socket's path stays when the listener is closed.
+// keepPath sets whether the path of the socket stays when the listener is closed.
 func (v *listener) keepPath(keep bool) {
 	v.mu.Lock()
-	v.l.SetUnlinkOnClose(!keep)
+	v.socket.SetUnlinkOnClose(!keep)
 	v.mu.Unlock()
 }
 
-// New makes a server without sockets; its sessions end with ctx.
+// New returns a server without sockets. Its sessions end when ctx is cancelled.
 func New(ctx context.Context, cfg *settings.Config, e *engine.Engine, log *zap.Logger) *Server {
-	return &Server{ctx: ctx, cfg: cfg, engine: e, log: log, mostMemory: cfg.Bounds.MostMemory}
+	return &Server{ctx: ctx, cfg: cfg, engine: e, log: log, maxMemory: cfg.Bounds.MostMemory}
 }
 
 // Listen opens the sockets of all volumes that have one.
@@ -79,21 +79,22 @@
 			s.Close()
 			return nil, fmt.Errorf("volume %q: %w", v.Name, err)
 		}
-		s.volumes = append(s.volumes, &listener{dev: device{v, i, cfg.Bounds.MostBytes}, l: l, live: map[*session]bool{}})
+		s.volumes = append(s.volumes, &listener{dev: device{v, i, cfg.Bounds.MostBytes}, socket: l, sessions: map[*session]bool{}})
 	}
 	return s, nil
 }
 
-// listen takes over a path that a killed gateway has left, not one that somebody listens on.
+// listen opens a socket at path. It replaces a socket that a killed gateway has left behind, but not one that a process
+// listens on.
 func listen(path string) (*net.UnixListener, error) {
 	addr := &net.UnixAddr{Name: path, Net: "unix"}
 	if c, err := net.DialUnix("unix", nil, addr); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("socket %s: another process listens on it", path)
+		return nil, fmt.Errorf("socket %s: another process is listening on it", path)
 	}
 	if st, err := os.Lstat(path); err == nil {
 		if st.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("socket %s: a file that is no socket is there", path)
+			return nil, fmt.Errorf("socket %s: path exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, fmt.Errorf("socket %s: %w", path, err)
@@ -110,7 +111,7 @@
 	return l, nil
 }
 
-// Serve takes clients until ctx ends, and returns when the last session is gone.
+// Serve accepts clients until ctx is cancelled, and returns when the last session has ended.
 func (s *Server) Serve(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, v := range s.volumes {
@@ -121,93 +122,93 @@
 
 func (s *Server) accept(ctx context.Context, v *listener) error {
 	var clients errgroup.Group
-	clients.SetLimit(mostSessions)
+	clients.SetLimit(maxSessions)
 	stop := context.AfterFunc(ctx, v.close)
 	defer stop()
 	defer clients.Wait()
 	log := s.log.With(zap.String("volume", v.dev.Name))
 	for _, ss := range v.adopted {
-		clients.Go(func() error { s.serveOne(v, ss, ss.begin()); return nil })
+		clients.Go(func() error { s.serveSession(v, ss, ss.startRings()); return nil })
 	}
 	v.adopted = nil
 	for n := 1; ; n++ {
-		c, err := v.l.AcceptUnix()
+		c, err := v.socket.AcceptUnix()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			if s.frozen.Load() {
-				if pause(ctx, 5*time.Millisecond); s.handed.Load() {
+				if sleep(ctx, 5*time.Millisecond); s.handedOver.Load() {
 					return nil
 				}
 				continue
 			}
-			log.Warn("accept", zap.Error(err)) // out of descriptors, say: what is open goes on
-			if !pause(ctx, 100*time.Millisecond) {
+			log.Warn("accept", zap.Error(err)) // for example out of file descriptors: open sessions go on
+			if !sleep(ctx, 100*time.Millisecond) {
 				return nil
 			}
 			continue
 		}
 		ss := newSession(ctx, s, &v.dev, c, log.With(zap.Int("client", n)))
-		clients.Go(func() error { s.serveOne(v, ss, nil); return nil })
+		clients.Go(func() error { s.serveSession(v, ss, nil); return nil })
 	}
 }
 
-// serveOne serves a client until it leaves.
-func (s *Server) serveOne(v *listener, ss *session, err error) {
+// serveSession serves a client until it disconnects. An err that is not nil ends the session at once.
+func (s *Server) serveSession(v *listener, ss *session, err error) {
 	v.mu.Lock()
-	v.live[ss] = true
-	if v.drain {
+	v.sessions[ss] = true
+	if v.draining {
 		ss.conn.Close()
 	}
 	v.mu.Unlock()
 	s.Sessions.Add(1)
-	ss.log.Info("client came")
+	ss.log.Info("client connected")
 	if err != nil {
 		ss.fail(err)
 	}
 	err = ss.serve()
 	s.Sessions.Add(-1)
 	v.mu.Lock()
-	delete(v.live, ss)
+	delete(v.sessions, ss)
 	v.mu.Unlock()
 	if err != nil {
 		s.Ended.Add(1)
 		ss.log.Warn("client closed", zap.Error(err))
 	} else {
-		ss.log.Info("client left")
+		ss.log.Info("client disconnected")
 	}
 }
 
-// StopTaking lets no client in and takes nothing more off the rings; what was taken is still answered.
+// StopTaking stops accepting clients and taking requests off the rings. Requests already taken are still answered.
 func (s *Server) StopTaking() {
 	for _, v := range s.volumes {
 		v.close()
 		v.mu.Lock()
-		v.drain = true
-		for ss := range v.live {
-			ss.stopTaking()
+		v.draining = true
+		for ss := range v.sessions {
+			ss.startDraining()
 		}
 		v.mu.Unlock()
 	}
 }
 
-// Owed is how many requests were taken whose answers are not on their clients' rings yet.
-func (s *Server) Owed() int64 { return s.owed.Load() }
+// Owed returns the number of requests taken whose answers are not yet on the rings of their clients.
+func (s *Server) Owed() int64 { return s.unanswered.Load() }
 
-// Close lets go of sockets that were never served.
+// Close closes sockets that were never served.
 func (s *Server) Close() {
 	for _, v := range s.volumes {
 		v.close()
 	}
 }
 
-// sameGroup tells whether all nodes that may hold a request's data belong to the group of its class that has seen its
-// first attempt, at the given node.
-func (s *Server) sameGroup(class int, d *device, p *parsed, first logic.NodeID) bool {
+// sameGroup reports whether all nodes that may hold the data of a request belong to the same group of its class as the
+// node of its first attempt.
+func (s *Server) sameGroup(class int, d *device, p *parsedRequest, first logic.NodeID) bool {
 	group := s.cfg.Logic.Classes[class].Group
 	if group != logic.GroupZone {
-		return true // all nodes, or those of a cell, which an extent is tied to
+		return true // the group is all nodes, or the nodes of one cell, and an extent belongs to one cell
 	}
 	zone, known := 0, false
 	for _, n := range s.cfg.Nodes {
--- a/internal/front/ring/session.go
+++ b/internal/front/ring/session.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// session is one client on one volume's socket. Its goroutine reads messages and owns everything but what the rings'
-// goroutines share.
+// session is one client connected to the socket of a volume. Its goroutine reads the messages and owns everything
+// except what it shares with the goroutines of the rings.
 type session struct {
 	server *Server
 	dev    *device
@@ -28,59 +28,59 @@
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	features  uint64
-	acked     bool // SET_FEATURES has come
-	protocol  uint64
-	memMu     sync.RWMutex // held to change memory, read-held to touch it
-	memory    memory
-	rings     []*vring
-	inflight  *inflight    // nil: the front-end keeps none
-	draining  atomic.Bool  // nothing more is taken
-	handling  atomic.Bool  // a message is being carried out
-	callMu    sync.RWMutex // guards the rings' call and error descriptors against being closed in use
-	messageNo int
-	freezes   chan chan *frozen // to stand still, for a process that takes over
-	over      chan struct{}     // closed when the session has ended
+	features       uint64
+	featuresSet    bool // SET_FEATURES was received
+	protocol       uint64
+	memMu          sync.RWMutex // write-locked to change memory, read-locked to access it
+	memory         memory
+	rings          []*vring
+	inflight       *inflight    // nil if neither the front-end nor the session has a region
+	draining       atomic.Bool  // no more requests are taken
+	handling       atomic.Bool  // a message is being handled
+	callMu         sync.RWMutex // keeps the call and error descriptors of the rings from being closed while in use
+	messageCount   int
+	freezeRequests chan chan *freezeReply // requests to freeze, for a process that takes over
+	done           chan struct{}          // closed when the session has ended
 }
 
 func newSession(ctx context.Context, srv *Server, dev *device, conn *net.UnixConn, log *zap.Logger) *session {
-	s := &session{server: srv, dev: dev, conn: conn, log: log, freezes: make(chan chan *frozen, 1), over: make(chan struct{})}
+	s := &session{server: srv, dev: dev, conn: conn, log: log, freezeRequests: make(chan chan *freezeReply, 1), done: make(chan struct{})}
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
-	s.memory.most = uint64(srv.mostMemory)
+	s.memory.maxTotal = uint64(srv.maxMemory)
 	for i := range dev.Queues {
-		s.rings = append(s.rings, &vring{s: s, index: i, call: -1, errFD: -1})
+		s.rings = append(s.rings, &vring{session: s, index: i, callFD: -1, errFD: -1})
 	}
 	return s
 }
 
-// fail ends the session; the first reason counts.
+// fail ends the session. Only the first error is kept as the reason.
 func (s *session) fail(err error) {
 	s.cancel(err)
 	s.conn.Close()
 }
 
-// serve speaks with the client until it leaves. When it returns nothing of the session is left but attempts that
-// still run at nodes, which touch none of the client's memory.
+// serve handles the messages of the client until it disconnects. After it returns, only attempts that are still in
+// flight at nodes remain of the session; they do not access client memory.
 func (s *session) serve() error {
-	defer close(s.over)
-	debug.SetPanicOnFault(true) // the client may take its memory away
+	defer close(s.done)
+	debug.SetPanicOnFault(true) // the client may truncate its memory
 	stop := context.AfterFunc(s.ctx, func() { s.conn.Close() })
 	defer stop()
 	var err error
-	buf := make([]byte, mostPayload)
+	buf := make([]byte, maxPayload)
 	for {
 		var m message
 		s.handling.Store(false)
-		err = s.await()
+		err = s.awaitMessage()
 		s.handling.Store(true)
 		if err == nil {
 			m, err = readMessage(s.conn, buf)
 		}
 		if err == errPaused {
 			select {
-			case ask := <-s.freezes:
-				if !s.standStill(ask) {
-					err = io.EOF // another process speaks with the client now
+			case ask := <-s.freezeRequests:
+				if !s.pauseForHandover(ask) {
+					err = io.EOF // another process serves the client now
 				}
 			default:
 				s.conn.SetReadDeadline(time.Time{})
@@ -92,11 +92,11 @@
 		if err != nil {
 			break
 		}
-		s.messageNo++
+		s.messageCount++
 		err = s.handle(&m)
 		m.closeFDs()
 		if err != nil {
-			err = fmt.Errorf("message %d: %w", s.messageNo, err)
+			err = fmt.Errorf("message %d: %w", s.messageCount, err)
 			break
 		}
 	}
@@ -105,13 +105,13 @@
 	}
 	s.cancel(err)
 	for _, v := range s.rings {
-		v.leave()
-		s.dropCalls(v)
+		v.abandon()
+		s.closeCallFDs(v)
 	}
 	s.memMu.Lock()
 	s.memory.clear()
 	s.memMu.Unlock()
-	s.dropInflight()
+	s.closeInflight()
 	s.conn.Close()
 	if errors.Is(err, io.EOF) && err == io.EOF || errors.Is(err, context.Canceled) {
 		return nil
@@ -119,8 +119,8 @@
 	return err
 }
 
-// await waits until a message begins to come, and leaves it where it is.
-func (s *session) await() error {
+// awaitMessage waits until data of a message can be read, without consuming it.
+func (s *session) awaitMessage() error {
 	rc, err := s.conn.SyscallConn()
 	if err != nil {
 		return err
@@ -136,9 +136,9 @@
 	return err
 }
 
-// settled waits until every message that came before now has been carried out: what a front-end says before it kicks
-// holds for that kick, in whatever order it tells of a ring.
-func (s *session) settled(ctx context.Context) error {
+// awaitHandled waits until every message received so far was handled. What a front-end sends before a kick applies to
+// that kick, in whatever order it configures a ring.
+func (s *session) awaitHandled(ctx context.Context) error {
 	rc, err := s.conn.SyscallConn()
 	for err == nil {
 		n := 0
@@ -148,14 +148,14 @@
 		if err == nil && n == 0 && !s.handling.Load() {
 			return nil
 		}
-		if !pause(ctx, 50*time.Microsecond) {
+		if !sleep(ctx, 50*time.Microsecond) {
 			return ctx.Err()
 		}
 	}
 	return err
 }
 
-// signal writes to an eventfd of the client's, or whatever it is: without waiting.
+// signal writes to an eventfd of the client without blocking. The descriptor may be of any other kind.
 func (s *session) signal(fd *int) {
 	s.callMu.RLock()
 	defer s.callMu.RUnlock()
@@ -166,8 +166,9 @@
 	}
 }
 
-// touch read-locks the client's memory; it is an error once the session has ended, as its mappings may be gone.
-func (s *session) touch() error {
+// rlockMemory read-locks the client memory. It returns an error, without the lock, once the session has ended, as the
+// mappings may be gone.
+func (s *session) rlockMemory() error {
 	s.memMu.RLock()
 	if err := s.ctx.Err(); err != nil {
 		s.memMu.RUnlock()
@@ -176,13 +177,14 @@
 	return nil
 }
 
-// stopTaking lets the rings take nothing more; what they took is still answered.
-func (s *session) stopTaking() { s.draining.Store(true) }
+// startDraining stops taking requests off the rings; requests already taken are still answered.
+func (s *session) startDraining() { s.draining.Store(true) }
 
-func (s *session) dropCalls(v *vring) {
+// closeCallFDs closes the call and error descriptors of a ring.
+func (s *session) closeCallFDs(v *vring) {
 	s.callMu.Lock()
 	defer s.callMu.Unlock()
-	for _, fd := range []*int{&v.call, &v.errFD} {
+	for _, fd := range []*int{&v.callFD, &v.errFD} {
 		if *fd >= 0 {
 			unix.Close(*fd)
 			*fd = -1
@@ -190,9 +192,9 @@
 	}
 }
 
-// handle carries out one message. An error ends the session.
+// handle handles one message and sends its reply. An error ends the session.
 func (s *session) handle(m *message) error {
-	reply, err := s.carryOut(m)
+	reply, err := s.dispatch(m)
 	if err == errReplied {
 		return nil
 	}
@@ -211,40 +213,42 @@
 	return nil
 }
 
-// errReplied says that a message has had its reply.
+// errReplied is returned by a handler that has already sent the reply.
 var errReplied = errors.New("replied")
 
-// inflightShape reads the payload of the inflight messages: size, offset, queues, entries; some front-ends pad it.
-func (m *message) inflightShape(fds int) (size, offset uint64, queues, entries int, err error) {
+// inflightLayout reads the payload of the inflight messages: size, offset, queues and entries. Some front-ends pad the
+// payload to 24 bytes.
+func (m *message) inflightLayout(fds int) (size, offset uint64, queues, entries int, err error) {
 	if len(m.payload) != 20 && len(m.payload) != 24 {
-		return 0, 0, 0, 0, m.want(20, fds)
+		return 0, 0, 0, 0, m.expect(20, fds)
 	}
 	if len(m.fds) != fds {
-		return 0, 0, 0, 0, m.want(len(m.payload), fds)
+		return 0, 0, 0, 0, m.expect(len(m.payload), fds)
 	}
 	return m.u64(0), m.u64(8), int(load16(m.payload[16:])), int(load16(m.payload[18:])), nil
 }
 
-// dropInflight lets go of the region; no ring runs.
-func (s *session) dropInflight() {
+// closeInflight unmaps the inflight region. No ring may be running.
+func (s *session) closeInflight() {
 	if s.inflight != nil {
 		s.inflight.close()
 		s.inflight = nil
 	}
 }
 
-// ownEntries is the size of a region of the session's own; a ring that is larger has none.
-const ownEntries = 1024
+// privateInflightEntries is the number of entries per queue of a region that the session creates itself; a larger ring
+// is not tracked there.
+const privateInflightEntries = 1024
 
-// ownInflight makes a region of this session's own where the client keeps none: a process that takes over needs it.
-func (s *session) ownInflight() (err error) {
+// ensureInflight creates a region of the session itself if the client keeps none: a process that takes over needs it.
+func (s *session) ensureInflight() (err error) {
 	if s.inflight == nil {
-		s.inflight, err = newInflight(len(s.rings), ownEntries)
+		s.inflight, err = newInflight(len(s.rings), privateInflightEntries)
 	}
 	return err
 }
 
-func (s *session) ringsRun() bool {
+func (s *session) anyRingRunning() bool {
 	for _, v := range s.rings {
 		if v.run != nil {
 			return true
@@ -253,21 +257,21 @@
 	return false
 }
 
-// makeInflight answers GET_INFLIGHT_FD with a fresh region.
-func (s *session) makeInflight(m *message) error {
-	_, _, queues, entries, err := m.inflightShape(0)
+// handleGetInflight answers GET_INFLIGHT_FD with a new region.
+func (s *session) handleGetInflight(m *message) error {
+	_, _, queues, entries, err := m.inflightLayout(0)
 	if err != nil {
 		return err
 	}
-	if s.ringsRun() {
-		return errors.New("GET_INFLIGHT_FD while rings run")
+	if s.anyRingRunning() {
+		return errors.New("GET_INFLIGHT_FD while rings are running")
 	}
 	f, err := newInflight(queues, entries)
 	if err != nil {
 		return err
 	}
-	s.dropInflight()
-	f.client, s.inflight = true, f
+	s.closeInflight()
+	f.clientOwned, s.inflight = true, f
 	b := make([]byte, len(m.payload))
 	copy(b[16:], m.payload[16:])
 	binary.LittleEndian.PutUint64(b, uint64(len(f.mem)))
@@ -277,40 +281,40 @@
 	return errReplied
 }
 
-// takeInflight takes a region back, of this process or of an earlier one.
-func (s *session) takeInflight(m *message) error {
-	size, offset, queues, entries, err := m.inflightShape(1)
+// handleSetInflight maps the region of SET_INFLIGHT_FD, created by this process or by an earlier one.
+func (s *session) handleSetInflight(m *message) error {
+	size, offset, queues, entries, err := m.inflightLayout(1)
 	if err != nil {
 		return err
 	}
-	if s.ringsRun() {
-		return errors.New("SET_INFLIGHT_FD while rings run")
+	if s.anyRingRunning() {
+		return errors.New("SET_INFLIGHT_FD while rings are running")
 	}
 	f, err := openInflight(m.fds[0], size, offset, queues, entries)
 	if err != nil {
 		return err
 	}
-	s.dropInflight()
-	f.client, s.inflight = true, f
+	s.closeInflight()
+	f.clientOwned, s.inflight = true, f
 	return nil
 }
 
-func u64(v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v) }
+func encodeU64(v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v) }
 
-func (s *session) carryOut(m *message) (reply []byte, err error) {
+func (s *session) dispatch(m *message) (reply []byte, err error) {
 	switch m.request {
 	case getFeatures:
-		return u64(s.dev.features()), m.want(0, 0)
+		return encodeU64(s.dev.features()), m.expect(0, 0)
 	case setFeatures:
-		if err := m.want(8, 0); err != nil {
+		if err := m.expect(8, 0); err != nil {
 			return nil, err
 		}
 		f := m.u64(0)
 		if extra := f &^ s.dev.features(); extra != 0 {
-			return nil, fmt.Errorf("SET_FEATURES sets %#x, which was not offered", extra)
+			return nil, fmt.Errorf("SET_FEATURES sets bits %#x, which were not offered", extra)
 		}
-		s.features, s.acked = f, true
-		if f&featProtocol == 0 { // then rings begin enabled
+		s.features, s.featuresSet = f, true
+		if f&featProtocol == 0 { // rings then start enabled
 			for _, v := range s.rings {
 				v.enabled = true
 				if err := v.start(); err != nil {
@@ -320,73 +324,73 @@
 		}
 		return nil, nil
 	case getProtocolFeatures:
-		return u64(protocolFeatures), m.want(0, 0)
+		return encodeU64(protocolFeatures), m.expect(0, 0)
 	case setProtocolFeatures:
-		if err := m.want(8, 0); err != nil {
+		if err := m.expect(8, 0); err != nil {
 			return nil, err
 		}
 		if extra := m.u64(0) &^ protocolFeatures; extra != 0 {
-			return nil, fmt.Errorf("SET_PROTOCOL_FEATURES sets %#x, which was not offered", extra)
+			return nil, fmt.Errorf("SET_PROTOCOL_FEATURES sets bits %#x, which were not offered", extra)
 		}
 		s.protocol = m.u64(0)
 		return nil, nil
 	case setOwner:
-		return nil, m.want(0, 0)
+		return nil, m.expect(0, 0)
 	case resetOwner, resetDevice:
-		if err := m.want(0, 0); err != nil {
+		if err := m.expect(0, 0); err != nil {
 			return nil, err
 		}
 		for _, v := range s.rings {
 			v.stop()
-			v.base, v.started, v.enabled = 0, false, false
+			v.base, v.kicked, v.enabled = 0, false, false
 			if m.request == resetDevice {
-				v.placed = false
+				v.hasAddresses = false
 			}
 		}
 		if m.request == resetDevice {
-			s.features, s.acked = 0, false
+			s.features, s.featuresSet = 0, false
 		}
 		return nil, nil
 	case getQueueNum:
-		return u64(uint64(len(s.rings))), m.want(0, 0)
+		return encodeU64(uint64(len(s.rings))), m.expect(0, 0)
 	case getMaxMemSlots:
-		return u64(mostSlots), m.want(0, 0)
+		return encodeU64(maxMemSlots), m.expect(0, 0)
 	case setMemTable:
 		return nil, s.setMemTable(m)
 	case addMemReg, remMemReg:
-		return nil, s.changeMemory(m)
+		return nil, s.changeRegion(m)
 	case getInflightFD:
-		return nil, s.makeInflight(m)
+		return nil, s.handleGetInflight(m)
 	case setInflightFD:
-		return nil, s.takeInflight(m)
+		return nil, s.handleSetInflight(m)
 	case getConfig:
-		return s.config(m)
+		return s.readConfig(m)
 	case setConfig:
-		return nil, errors.New("SET_CONFIG: no field of the configuration can be written")
+		return nil, errors.New("SET_CONFIG: the configuration space has no writable field")
 	case setVringNum, setVringBase, getVringBase, setVringEnable:
-		return s.ringState(m)
+		return s.handleRingState(m)
 	case setVringAddr:
-		return nil, s.ringAddress(m)
+		return nil, s.setRingAddress(m)
 	case setVringKick, setVringCall, setVringErr:
-		return nil, s.ringFD(m)
+		return nil, s.setRingFD(m)
 	}
-	return nil, fmt.Errorf("%s is not known or was not negotiated", messageName(m.request))
+	return nil, fmt.Errorf("%s is unknown or was not negotiated", messageName(m.request))
 }
 
-// setMemTable replaces all of the client's memory.
+// setMemTable replaces all memory of the client.
 func (s *session) setMemTable(m *message) error {
 	if len(m.payload) < 8 {
 		return fmt.Errorf("SET_MEM_TABLE has a payload of %d bytes", len(m.payload))
 	}
 	n := int(m.u32(0))
-	if n > mostFDs {
-		return fmt.Errorf("SET_MEM_TABLE names %d regions, most is %d", n, mostFDs)
+	if n > maxFDs {
+		return fmt.Errorf("SET_MEM_TABLE has %d regions, max %d", n, maxFDs)
 	}
-	// Some front-ends send the whole table with unused entries, so only the least length is fixed.
-	if len(m.payload) < 8+32*n || len(m.payload) > 8+32*mostFDs || len(m.fds) != n {
-		return fmt.Errorf("SET_MEM_TABLE names %d regions in %d bytes with %d file descriptors", n, len(m.payload), len(m.fds))
+	// Some front-ends send the whole table including unused entries, so only the minimum length is fixed.
+	if len(m.payload) < 8+32*n || len(m.payload) > 8+32*maxFDs || len(m.fds) != n {
+		return fmt.Errorf("SET_MEM_TABLE has %d regions in %d bytes with %d file descriptors", n, len(m.payload), len(m.fds))
 	}
-	fresh := memory{most: s.memory.most}
+	fresh := memory{maxTotal: s.memory.maxTotal}
 	for i := range n {
 		at := 8 + 32*i
 		if err := fresh.add(m.u64(at), m.u64(at+8), m.u64(at+16), m.u64(at+24), m.fds[i]); err != nil {
@@ -398,21 +402,21 @@
 	defer s.memMu.Unlock()
 	s.memory.clear()
 	s.memory = fresh
-	return s.replace()
+	return s.remapRings()
 }
 
-func (s *session) changeMemory(m *message) error {
+func (s *session) changeRegion(m *message) error {
 	if len(m.payload) != 40 {
-		return m.want(40, 1)
+		return m.expect(40, 1)
 	}
 	s.memMu.Lock()
 	defer s.memMu.Unlock()
 	if m.request == addMemReg {
 		if len(m.fds) != 1 {
-			return m.want(40, 1)
+			return m.expect(40, 1)
 		}
-		if len(s.memory.regions) >= mostSlots {
-			return fmt.Errorf("ADD_MEM_REG: more than %d regions", mostSlots)
+		if len(s.memory.regions) >= maxMemSlots {
+			return fmt.Errorf("ADD_MEM_REG: more than %d regions", maxMemSlots)
 		}
 		if err := s.memory.add(m.u64(8), m.u64(16), m.u64(24), m.u64(32), m.fds[0]); err != nil {
 			return err
@@ -420,15 +424,15 @@
 	} else if err := s.memory.remove(m.u64(8), m.u64(16), m.u64(24)); err != nil {
 		return err
 	}
-	return s.replace()
+	return s.remapRings()
 }
 
-// replace finds running rings anew in changed memory. The caller holds memMu.
-func (s *session) replace() error {
+// remapRings looks up the running rings again after the memory has changed. The caller holds memMu.
+func (s *session) remapRings() error {
 	for _, v := range s.rings {
 		if v.run != nil {
-			if err := v.run.place(); err != nil {
-				s.fail(err) // before anything looks for the ring where it was
+			if err := v.run.mapRing(); err != nil {
+				s.fail(err) // before a goroutine accesses the ring at its old address
 				return err
 			}
 		}
@@ -436,17 +440,18 @@
 	return nil
 }
 
-// config answers GET_CONFIG: offset, size, flags and the bytes asked for.
-func (s *session) config(m *message) ([]byte, error) {
+// readConfig answers GET_CONFIG: offset, size, flags and the requested bytes.
+func (s *session) readConfig(m *message) ([]byte, error) {
 	if len(m.payload) < 12 {
 		return nil, fmt.Errorf("GET_CONFIG has a payload of %d bytes", len(m.payload))
 	}
 	off, n := m.u32(0), m.u32(4)
-	if n > mostConfigPayload || int(n) != len(m.payload)-12 {
-		return nil, fmt.Errorf("GET_CONFIG asks for %d bytes in a payload of %d", n, len(m.payload))
+	if n > maxConfigPayload || int(n) != len(m.payload)-12 {
+		return nil, fmt.Errorf("GET_CONFIG requests %d bytes in a payload of %d bytes", n, len(m.payload))
 	}
-	if off > mostConfigPayload || off+n > mostConfigPayload {
-		return binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint32(nil, off), 0), nil // a length of zero says no
+	if off > maxConfigPayload || off+n > maxConfigPayload {
+		// A zero length signals an error.
+		return binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint32(nil, off), 0), nil
 	}
 	b := append([]byte(nil), m.payload...)
 	clear(b[12:])
@@ -456,44 +461,44 @@
 	return b, nil
 }
 
-func (s *session) ring(m *message, index uint32) (*vring, error) {
+func (s *session) ringByIndex(m *message, index uint32) (*vring, error) {
 	if int64(index) >= int64(len(s.rings)) {
-		return nil, fmt.Errorf("%s names queue %d of %d", messageName(m.request), index, len(s.rings))
+		return nil, fmt.Errorf("%s refers to queue %d of %d", messageName(m.request), index, len(s.rings))
 	}
 	return s.rings[index], nil
 }
 
-// ringState takes the messages that carry an index and a number.
-func (s *session) ringState(m *message) (reply []byte, err error) {
-	if err := m.want(8, 0); err != nil {
+// handleRingState handles the messages whose payload is a ring index and a number.
+func (s *session) handleRingState(m *message) (reply []byte, err error) {
+	if err := m.expect(8, 0); err != nil {
 		return nil, err
 	}
-	v, err := s.ring(m, m.u32(0))
+	v, err := s.ringByIndex(m, m.u32(0))
 	if err != nil {
 		return nil, err
 	}
 	n := m.u32(4)
 	switch m.request {
 	case setVringNum:
-		if n == 0 || n > mostQueue || n&(n-1) != 0 {
-			return nil, fmt.Errorf("SET_VRING_NUM: %d entries are no power of two up to %d", n, mostQueue)
+		if n == 0 || n > maxQueueSize || n&(n-1) != 0 {
+			return nil, fmt.Errorf("SET_VRING_NUM: %d entries is not a power of two up to %d", n, maxQueueSize)
 		}
-		// A front-end may tell of a ring in any order, also after what lets it begin; it does, without effect, only until
-		// all is told.
+		// A front-end may configure a ring in any order, also after the ring has all it needs to start. Such a ring
+		// starts early, which has no effect until the configuration is complete.
 		v.stop()
 		v.num = uint16(n)
 		return nil, v.start()
 	case setVringBase:
 		if n > 0xffff {
-			return nil, fmt.Errorf("SET_VRING_BASE: %d is no ring index", n)
+			return nil, fmt.Errorf("SET_VRING_BASE: %d is not a ring index", n)
 		}
 		v.stop()
 		v.base = uint16(n)
 		return nil, v.start()
 	case getVringBase:
 		base := v.stop()
-		v.started = false
-		if v.kick != nil { // stopped until a new one is set
+		v.kicked = false
+		if v.kick != nil { // stopped until a new descriptor is set
 			v.kick.Close()
 			v.kick = nil
 		}
@@ -501,7 +506,7 @@
 		b := binary.LittleEndian.AppendUint32(nil, uint32(v.index))
 		return binary.LittleEndian.AppendUint32(b, uint32(base)), nil
 	case setVringEnable:
-		if s.acked && s.features&featProtocol == 0 {
+		if s.featuresSet && s.features&featProtocol == 0 {
 			return nil, errors.New("SET_VRING_ENABLE without VHOST_USER_F_PROTOCOL_FEATURES")
 		}
 		if n > 1 {
@@ -516,37 +521,37 @@
 	return nil, nil
 }
 
-func (s *session) ringAddress(m *message) error {
-	if err := m.want(40, 0); err != nil {
+func (s *session) setRingAddress(m *message) error {
+	if err := m.expect(40, 0); err != nil {
 		return err
 	}
-	v, err := s.ring(m, m.u32(0))
+	v, err := s.ringByIndex(m, m.u32(0))
 	if err != nil {
 		return err
 	}
 	if m.u32(4)&1 != 0 {
 		return errors.New("SET_VRING_ADDR asks for logging, which was not offered")
 	}
-	v.descAt, v.usedAt, v.availAt, v.placed = m.u64(8), m.u64(16), m.u64(24), true
+	v.descAt, v.usedAt, v.availAt, v.hasAddresses = m.u64(8), m.u64(16), m.u64(24), true
 	if v.run != nil {
 		s.memMu.Lock()
 		defer s.memMu.Unlock()
-		return v.run.place()
+		return v.run.mapRing()
 	}
 	return v.start()
 }
 
-// ringFD takes a kick, call or error descriptor, or the word that there is none.
-func (s *session) ringFD(m *message) error {
+// setRingFD sets a kick, call or error descriptor of a ring, or removes it if the message says that there is none.
+func (s *session) setRingFD(m *message) error {
 	if len(m.payload) != 8 {
-		return m.want(8, 1)
+		return m.expect(8, 1)
 	}
 	word := m.u64(0)
 	none := word&vringNoFD != 0
 	if want := map[bool]int{true: 0, false: 1}[none]; len(m.fds) != want {
-		return m.want(8, want)
+		return m.expect(8, want)
 	}
-	v, err := s.ring(m, uint32(word&0xff))
+	v, err := s.ringByIndex(m, uint32(word&0xff))
 	if err != nil {
 		return err
 	}
@@ -554,8 +559,8 @@
 	if !none {
 		fd = m.fds[0]
 		m.fds = nil
-		// Neither our reading nor our writing may wait in the kernel. The flag is shared with the client, whose own
-		// calls on an eventfd do not wait either.
+		// Neither reads nor writes of this process may block in the kernel. The flag is shared with the client, whose
+		// own calls on an eventfd do not block either.
 		if err := unix.SetNonblock(fd, true); err != nil {
 			unix.Close(fd)
 			return fmt.Errorf("%s: %w", messageName(m.request), err)
@@ -564,7 +569,7 @@
 	if m.request != setVringKick {
 		s.callMu.Lock()
 		defer s.callMu.Unlock()
-		old := &v.call
+		old := &v.callFD
 		if m.request == setVringErr {
 			old = &v.errFD
 		}
@@ -582,7 +587,7 @@
 	if v.polled = none; !none {
 		v.kick = os.NewFile(uintptr(fd), fmt.Sprintf("kick of queue %d", v.index))
 		if err := v.kick.SetReadDeadline(time.Time{}); err != nil {
-			return fmt.Errorf("SET_VRING_KICK: a descriptor that cannot be waited for: %w", err)
+			return fmt.Errorf("SET_VRING_KICK: descriptor cannot be polled: %w", err)
 		}
 	}
 	return v.start()
@@ -592,6 +597,6 @@
 	var b [2]byte
 	*(*uint16)(unsafe.Pointer(&b[0])) = 1
 	if b[0] != 1 {
-		panic("ring: virtio 1 rings are little-endian, this machine is not")
+		panic("ring: virtio 1 rings are little-endian, but this machine is not")
 	}
 }
--- a/internal/front/ring/track_test.go
+++ b/internal/front/ring/track_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Killed at any step between taking a descriptor and taking its mark away: exactly what was taken and not published is
-// found, in the order taken, and whether it was sent.
+// After a kill at any step between taking a descriptor and clearing its mark, exactly the requests taken and not
+// published are recovered, in the order taken, each with whether it was sent.
 func TestTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const num = 8
@@ -18,11 +18,11 @@
 		defer f.close()
 		open := func() *tracker {
 			g, err := openInflight(f.fd, uint64(len(f.mem)), 0, 2, num)
-			if err != nil || !g.ours {
-				t.Fatalf("the region is not known again: %v", err)
+			if err != nil || !g.trusted {
+				t.Fatalf("the region is not trusted when reopened: %v", err)
 			}
 			t.Cleanup(g.close)
-			tr, err := g.track(1, num)
+			tr, err := g.trackQueue(1, num)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -30,7 +30,7 @@
 		}
 		usedIdx := uint16(rapid.IntRange(0, 0xffff).Draw(t, "used"))
 		tr := open()
-		if l, err := tr.recover(num, usedIdx, 0); err != nil || len(l) != 0 {
+		if l, err := tr.recoverTaken(num, usedIdx, 0); err != nil || len(l) != 0 {
 			t.Fatalf("a fresh region holds %v, %v", l, err)
 		}
 		var order []uint16 // taken and not published
@@ -44,34 +44,34 @@
 					busy = busy || h == head
 				}
 				if !busy {
-					keys[head], sent[head] = tr.take(head, 5), false
+					keys[head], sent[head] = tr.markTaken(head, 5), false
 					order = append(order, head)
 				}
 			case 2:
 				if len(order) > 0 {
 					h := order[rapid.IntRange(0, len(order)-1).Draw(t, "sent")]
-					tr.sending(h, 7, 3)
+					tr.markSent(h, 7, 3)
 					sent[h] = true
 				}
 			default:
 				n := rapid.IntRange(0, len(order)).Draw(t, "batch")
 				for range n {
 					i := rapid.IntRange(0, len(order)-1).Draw(t, "answered")
-					tr.answered(order[i])
+					tr.addAnswered(order[i])
 					order = append(order[:i], order[i+1:]...)
 				}
 				usedIdx += uint16(n) // published
 				if rapid.Bool().Draw(t, "killed before the marks are taken away") {
 					break
 				}
-				tr.over(usedIdx)
+				tr.commitAnswered(usedIdx)
 				continue
 			}
 			if len(tr.batch) == 0 && !rapid.Bool().Draw(t, "killed") {
 				continue
 			}
 			tr = open()
-			l, err := tr.recover(num, usedIdx, 9)
+			l, err := tr.recoverTaken(num, usedIdx, 9)
 			if err != nil || len(l) != len(order) {
 				t.Fatalf("found %d of %d, %v", len(l), len(order), err)
 			}
@@ -84,8 +84,8 @@
 	})
 }
 
-// No process that takes a region up gives out a key that an earlier one has given out, however little was in flight: a node
-// that remembers it would drop the write as a repeat.
+// No process that opens a region uses a key that an earlier process has used, even if little was in flight: a node that
+// remembers the key would drop the write as a repeat.
 func TestKeysNeverRepeat(t *testing.T) {
 	const num = 8
 	f, err := newInflight(1, num)
@@ -95,23 +95,23 @@
 	seen := map[uint64]bool{}
 	last := uint64(0)
 	for process := range 4 {
-		tr, err := f.track(0, num)
+		tr, err := f.trackQueue(0, num)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := tr.recover(num, uint16(process), 1000); err != nil {
+		if _, err := tr.recoverTaken(num, uint16(process), 1000); err != nil {
 			t.Fatal(err)
 		}
 		if tr.counter < last {
-			t.Errorf("process %d counts from %d, the one before it came to %d", process, tr.counter, last)
+			t.Errorf("process %d counts from %d, the previous process had reached %d", process, tr.counter, last)
 		}
 		for range 5 {
-			if key := tr.take(3, 1000); key == 0 || seen[key] {
-				t.Fatalf("process %d gives out key %#x again", process, key)
+			if key := tr.markTaken(3, 1000); key == 0 || seen[key] {
+				t.Fatalf("process %d reuses key %#x", process, key)
 			} else {
 				seen[key] = true
 			}
-			tr.mark(3, 0)
+			tr.setInflight(3, 0)
 		}
 		last = tr.counter
 	}
--- a/internal/front/ring/vhost.go
+++ b/internal/front/ring/vhost.go
@@ -1,7 +1,7 @@
-// Package ring is the front for virtio-blk clients: a vhost-user back-end on a Unix socket a volume. It follows the
-// vhost-user protocol text and virtio 1.2 (split virtqueues, section 2.7; block device, section 5.2), for any
-// conforming front-end. It takes requests off the rings, hands them to the engine and writes the answers back; it
-// decides nothing.
+// Package ring is the front for virtio-blk clients: a vhost-user back-end with one Unix socket per volume. It follows
+// the vhost-user protocol specification and virtio 1.2 (split virtqueues, section 2.7; block device, section 5.2), for
+// any conforming front-end. It takes requests off the rings, passes them to the engine and writes the answers back; it
+// makes no scheduling decisions.
 package ring
 
 import (
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("message %d", r)
 }
 
-// Bits of a message's flags.
+// Bits of the flags of a message.
 const (
 	flagVersion   = 0x1
 	flagReply     = 0x4
@@ -83,28 +83,28 @@
 
 // Device feature bits.
 const (
-	featSizeMax       = 1 << 1
-	featSegMax        = 1 << 2
-	featReadOnly      = 1 << 5
-	featBlkSize       = 1 << 6
-	featFlush         = 1 << 9
-	featTopology      = 1 << 10
-	featMQ            = 1 << 12
-	featDiscard       = 1 << 13
-	featWriteZeroes   = 1 << 14
-	featIndirect      = 1 << 28
-	featEventIdx      = 1 << 29
-	featProtocol      = 1 << 30
-	featVersion1      = 1 << 32
-	vringNoFD         = 1 << 8 // of the payload of SET_VRING_KICK, _CALL, _ERR
-	headerLen         = 12
-	mostPayload       = 4096
-	mostFDs           = 8 // memory regions of one SET_MEM_TABLE
-	mostSlots         = 64
-	mostConfigPayload = 256
+	featSizeMax      = 1 << 1
+	featSegMax       = 1 << 2
+	featReadOnly     = 1 << 5
+	featBlkSize      = 1 << 6
+	featFlush        = 1 << 9
+	featTopology     = 1 << 10
+	featMQ           = 1 << 12
+	featDiscard      = 1 << 13
+	featWriteZeroes  = 1 << 14
+	featIndirect     = 1 << 28
+	featEventIdx     = 1 << 29
+	featProtocol     = 1 << 30
+	featVersion1     = 1 << 32
+	vringNoFD        = 1 << 8 // in the payload of SET_VRING_KICK, _CALL and _ERR
+	headerLen        = 12
+	maxPayload       = 4096
+	maxFDs           = 8 // memory regions of one SET_MEM_TABLE
+	maxMemSlots      = 64
+	maxConfigPayload = 256
 )
 
-// message is one of the front-end's. Whoever takes it owns its file descriptors.
+// message is a message of the front-end. Whoever takes file descriptors out of fds owns them.
 type message struct {
 	request uint32
 	flags   uint32
@@ -112,7 +112,7 @@
 	fds     []int
 }
 
-// closeFDs closes what nobody has taken.
+// closeFDs closes the descriptors that were not taken.
 func (m *message) closeFDs() {
 	for _, fd := range m.fds {
 		unix.Close(fd)
@@ -120,7 +120,8 @@
 	m.fds = nil
 }
 
-// readMessage reads one message; io.EOF between two. On an error no descriptor is left open.
+// readMessage reads one message. It returns io.EOF at the end of the stream between two messages. On an error no
+// descriptor stays open.
 func readMessage(conn *net.UnixConn, buf []byte) (m message, err error) {
 	defer func() {
 		if err != nil {
@@ -139,8 +140,8 @@
 	if m.flags&flagReply != 0 {
 		return m, fmt.Errorf("%s is marked as a reply", messageName(m.request))
 	}
-	if n > mostPayload {
-		return m, fmt.Errorf("%s has a payload of %d bytes, most is %d", messageName(m.request), n, mostPayload)
+	if n > maxPayload {
+		return m, fmt.Errorf("%s has a payload of %d bytes, max %d", messageName(m.request), n, maxPayload)
 	}
 	if err = readFull(conn, buf[:n], &m.fds); err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -149,9 +150,9 @@
 	return m, err
 }
 
-// readFull fills b and collects descriptors that come with it.
+// readFull fills b and appends the descriptors that arrive with it to fds.
 func readFull(conn *net.UnixConn, b []byte, fds *[]int) error {
-	oob := make([]byte, unix.CmsgSpace(4*(mostFDs+1)))
+	oob := make([]byte, unix.CmsgSpace(4*(maxFDs+1)))
 	paused := false
 	defer func() {
 		if paused {
@@ -161,7 +162,7 @@
 	for got := 0; got < len(b); {
 		n, oobn, flags, _, err := conn.ReadMsgUnix(b[got:], oob)
 		if oobn > 0 {
-			if perr := takeFDs(oob[:oobn], fds); perr != nil && err == nil {
+			if perr := parseFDs(oob[:oobn], fds); perr != nil && err == nil {
 				err = perr
 			}
 		}
@@ -169,15 +170,15 @@
 			if got == 0 && len(*fds) == 0 && len(b) == headerLen {
 				return errPaused
 			}
-			conn.SetReadDeadline(time.Time{}) // asked to stand still in the middle of a message: it is finished first
+			conn.SetReadDeadline(time.Time{}) // a freeze was requested in the middle of a message: read all of it first
 			paused = true
 			continue
 		}
-		if err != nil && !errors.Is(err, io.EOF) { // the net package wraps it
+		if err != nil && !errors.Is(err, io.EOF) { // the net package wraps io.EOF
 			return err
 		}
-		if flags&unix.MSG_CTRUNC != 0 || len(*fds) > mostFDs {
-			return fmt.Errorf("a message carries more than %d file descriptors", mostFDs)
+		if flags&unix.MSG_CTRUNC != 0 || len(*fds) > maxFDs {
+			return fmt.Errorf("message carries more than %d file descriptors", maxFDs)
 		}
 		if n == 0 {
 			if got == 0 {
@@ -190,7 +191,8 @@
 	return nil
 }
 
-func takeFDs(oob []byte, fds *[]int) error {
+// parseFDs appends the file descriptors in a control message to fds and marks them close-on-exec.
+func parseFDs(oob []byte, fds *[]int) error {
 	cs, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return fmt.Errorf("control message: %w", err)
@@ -198,7 +200,7 @@
 	for i := range cs {
 		got, err := unix.ParseUnixRights(&cs[i])
 		if err != nil {
-			continue // credentials and the like are not ours
+			continue // credentials and other control messages are ignored
 		}
 		for _, fd := range got {
 			unix.CloseOnExec(fd)
@@ -222,8 +224,8 @@
 	return err
 }
 
-// want checks a message's payload and descriptors.
-func (m *message) want(payload, fds int) error {
+// expect checks the payload length and the number of descriptors of a message.
+func (m *message) expect(payload, fds int) error {
 	if len(m.payload) != payload {
 		return fmt.Errorf("%s has a payload of %d bytes, want %d", messageName(m.request), len(m.payload), payload)
 	}
@@ -236,7 +238,7 @@
 func (m *message) u32(at int) uint32 { return binary.LittleEndian.Uint32(m.payload[at:]) }
 func (m *message) u64(at int) uint64 { return binary.LittleEndian.Uint64(m.payload[at:]) }
 
-// errPaused says that reading was to stand still, between two messages.
+// errPaused is returned when reading was interrupted between two messages, to freeze the session.
 var errPaused = errors.New("paused")
 
-var errNotMapped = errors.New("address is not in the client's memory")
+var errNotMapped = errors.New("address is not in client memory")
