--- a/internal/block/block.go
+++ b/internal/block/block.go
@@ -1,5 +1,5 @@
-// Package block holds the few words that fronts, engine and back share: what a block request is and how it
-// may end. It holds no behaviour.
+// Package block holds the terms that fronts, engine and back share: the kinds of block requests, their attempts, and
+// how they end. It makes no decisions.
 package block
 
 import "fmt"
@@ -13,7 +13,7 @@
 	Flush
 	Discard
 	WriteZeroes
-	Kinds // how many there are
+	Kinds // the number of kinds
 )
 
 var kindNames = [Kinds]string{"read", "write", "flush", "discard", "write_zeroes"}
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("Kind(%d)", uint8(k))
 }
 
-// ParseKind finds a kind by its name.
+// ParseKind returns the kind with the given name.
 func ParseKind(s string) (Kind, bool) {
 	for k, name := range kindNames {
 		if name == s {
@@ -35,16 +35,16 @@
 	return 0, false
 }
 
-// Changes tells whether a request of this kind changes stored bytes.
+// Changes reports whether a request of this kind changes stored data.
 func (k Kind) Changes() bool { return k == Write || k == Discard || k == WriteZeroes }
 
-// Verdict is a final answer.
+// Verdict is the final result of a request.
 type Verdict uint8
 
 const (
 	Served  Verdict = iota
 	Refused         // a retry is harmless
-	Failed          // no promise
+	Failed          // it is unknown whether the request took effect
 )
 
 func (v Verdict) String() string {
@@ -59,5 +59,5 @@
 	return fmt.Sprintf("Verdict(%d)", uint8(v))
 }
 
-// Sector is the unit of a virtio-blk address: 512 bytes, whatever the block size.
+// Sector is the unit of addresses in virtio-blk: 512 bytes, whatever the block size.
 const Sector = 512
