--- a/internal/front/ring/raw_test.go
+++ b/internal/front/ring/raw_test.go
@@ -111,7 +111,7 @@
 			t.Error(err)
 		}
 		b.complete(logic.Reset)
-		if n := srv.Owed(); n != 0 {
+		if n := srv.Unanswered(); n != 0 {
 			t.Errorf("%d requests counted as unanswered after all sessions ended", n)
 		}
 		if x := e.Tally(); x.Attempts != 0 || x.Ops != 0 {
--- a/internal/front/ring/server.go
+++ b/internal/front/ring/server.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// Owed returns the number of requests taken whose answers are not yet on the rings of their clients.
-func (s *Server) Owed() int64 { return s.unanswered.Load() }
+// Unanswered returns the number of requests taken whose answers are not yet on the rings of their clients.
+func (s *Server) Unanswered() int64 { return s.unanswered.Load() }
 
 // Close closes sockets that were never served.
 func (s *Server) Close() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -207,7 +207,7 @@
 	stopFiles()
 	davs.Wait() // what is under way still takes
 	err := g.Engine.Drained(drain)
-	for err == nil && g.Rings.Owed() > 0 { // answers on their way to the clients' rings
+	for err == nil && g.Rings.Unanswered() > 0 { // answers on their way to the clients' rings
 		pause(drain, time.Millisecond)
 		err = drain.Err()
 	}
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -149,7 +149,7 @@
 			t.Fatal("nobody took over")
 		}
 		stop(false) // it has ended by itself
-		if n := next.Rings.Owed(); n < 0 || n > 3 {
+		if n := next.Rings.Unanswered(); n < 0 || n > 3 {
 			t.Errorf("%d answers are owed to clients that ask 3 at a time", n)
 		}
 		if m, _ := next.Engine.Learned(); m.Unit == 0 {
