--- a/internal/front/ring/handover_test.go
+++ b/internal/front/ring/handover_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.srv.StopTaking() // shut down between the message to the other process and the thaw
+	h.srv.StartDraining() // shut down between the message to the other process and the thaw
 	_, err = os.Stat(h.path)
 	if thaw(false); err != nil {
 		t.Errorf("the path that the other process serves was removed: %v", err)
@@ -27,7 +27,7 @@
 	}
 	thaw(true)
 	h.dial()
-	h.srv.StopTaking()
+	h.srv.StartDraining()
 	if _, err := os.Stat(h.path); err == nil {
 		t.Error("the path was not removed")
 	}
--- a/internal/front/ring/server.go
+++ b/internal/front/ring/server.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// StopTaking stops accepting clients and taking requests off the rings. Requests already taken are still answered.
-func (s *Server) StopTaking() {
+// StartDraining stops accepting clients and taking requests off the rings. Requests already taken are still answered.
+func (s *Server) StartDraining() {
 	for _, v := range s.volumes {
 		v.close()
 		v.mu.Lock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -200,7 +200,7 @@
 		return over(nil)
 	}
 	g.log.Info("draining")
-	g.Rings.StopTaking()
+	g.Rings.StartDraining()
 	drain, cancel := context.WithTimeout(hard, time.Duration(g.cfg.Times.Drain)*time.Microsecond)
 	stopCut := context.AfterFunc(drain, cutFiles)
 	defer stopCut()
