--- a/internal/front/ring/server.go
+++ b/internal/front/ring/server.go
@@ -24,17 +24,17 @@
 
 // Server listens for the clients of all volumes.
 type Server struct {
-	cfg        *settings.Config
-	engine     *engine.Engine
-	log        *zap.Logger
-	maxMemory  int64
-	volumes    []*listener
-	ctx        context.Context // cancelling it ends all sessions
-	frozen     atomic.Bool     // set while accepting is suspended
-	handedOver atomic.Bool     // another process has taken over
-	unanswered atomic.Int64    // requests taken whose answers are not yet on their rings
-	Sessions   atomic.Int64    // open now
-	Ended      atomic.Int64    // sessions that ended with an error, since the start
+	cfg            *settings.Config
+	engine         *engine.Engine
+	log            *zap.Logger
+	maxMemory      int64
+	volumes        []*listener
+	ctx            context.Context // cancelling it ends all sessions
+	frozen         atomic.Bool     // set while accepting is suspended
+	handedOver     atomic.Bool     // another process has taken over
+	unanswered     atomic.Int64    // requests taken whose answers are not yet on their rings
+	Sessions       atomic.Int64    // open now
+	FailedSessions atomic.Int64    // sessions that ended with an error, since the start
 }
 
 type listener struct {
@@ -173,7 +173,7 @@
 	delete(v.sessions, ss)
 	v.mu.Unlock()
 	if err != nil {
-		s.Ended.Add(1)
+		s.FailedSessions.Add(1)
 		ss.log.Warn("client closed", zap.Error(err))
 	} else {
 		ss.log.Info("client disconnected")
