--- a/internal/front/ring/handover.go
+++ b/internal/front/ring/handover.go
@@ -336,9 +336,9 @@
 	return nil
 }
 
-// Drop releases what was adopted but will not be served. Clients and paths are left untouched, as the process that
+// DropAdopted releases what was adopted but will not be served. Clients and paths are left untouched, as the process that
 // handed them over still serves them.
-func (srv *Server) Drop() {
+func (srv *Server) DropAdopted() {
 	for _, l := range srv.volumes {
 		l.keepPath(true)
 		l.close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	if err := g.openDav(); err != nil {
-		g.Rings.Drop()
+		g.Rings.DropAdopted()
 		g.closeStore()
 		return nil, err
 	}
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -301,12 +301,12 @@
 		return refuse(err)
 	}
 	if err := ring.Adopt(g.Rings, g.cfg, t.Handed); err != nil {
-		g.Rings.Drop()
+		g.Rings.DropAdopted()
 		g.dropMarks()
 		return refuse(err)
 	}
 	if err := g.remember(st, true, quiet, true); err != nil {
-		g.Rings.Drop()
+		g.Rings.DropAdopted()
 		g.dropMarks()
 		return refuse(err)
 	}
@@ -315,7 +315,7 @@
 		_, err = hear(c, "go")
 	}
 	if err != nil {
-		g.Rings.Drop()
+		g.Rings.DropAdopted()
 		g.dropMarks()
 		return err
 	}
