--- a/internal/block/block.go
+++ b/internal/block/block.go
@@ -13,13 +13,13 @@
 	Flush
 	Discard
 	WriteZeroes
-	Kinds // the number of kinds
+	KindCount // the number of kinds
 )
 
-var kindNames = [Kinds]string{"read", "write", "flush", "discard", "write_zeroes"}
+var kindNames = [KindCount]string{"read", "write", "flush", "discard", "write_zeroes"}
 
 func (k Kind) String() string {
-	if k < Kinds {
+	if k < KindCount {
 		return kindNames[k]
 	}
 	return fmt.Sprintf("Kind(%d)", uint8(k))
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -160,7 +160,7 @@
 			case k < 4:
 				op := NewOp()
 				op.Volume, op.Front = rapid.IntRange(0, 1).Draw(t, "volume"), w
-				op.Kind = block.Kind(rapid.IntRange(0, int(block.Kinds)-1).Draw(t, "kind"))
+				op.Kind = block.Kind(rapid.IntRange(0, int(block.KindCount)-1).Draw(t, "kind"))
 				size := cfg.Volumes[op.Volume].Size
 				if op.Kind != block.Flush {
 					op.Len = int64(rapid.IntRange(1, 40).Draw(t, "blocks")) * 512
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -528,7 +528,7 @@
 				taken[key] = append(taken[key], place{v.Name, p.Base, p.Base + x.Len})
 			}
 		}
-		for k := block.Read; k < block.Kinds; k++ {
+		for k := block.Read; k < block.KindCount; k++ {
 			if _, ok := v.Class(k, math.MaxInt64); !ok && (!v.ReadOnly || k == block.Read || k == block.Flush) {
 				bad(pos, at+".table", "no row takes a %s of any size", k)
 			}
