--- a/internal/block/attempt.go
+++ b/internal/block/attempt.go
@@ -12,15 +12,15 @@
 // Handle. The back owns the attempt from Start until it has reported its end, exactly once, even if the attempt was
 // dropped.
 type Attempt struct {
-	Node      logic.NodeID
-	Kind      Kind
-	Namespace uint32
-	Offset    int64   // in bytes, from the start of the namespace
-	Len       int64   // in bytes; 0 for Flush
-	Buffer    *Buffer // Write: the data, from At on; Read: the destination
-	At        int64
-	Key       uint64 // identifies the request to nodes that can drop repeats
-	Durable   bool   // a change must be on stable storage before it is answered
+	Node         logic.NodeID
+	Kind         Kind
+	Namespace    uint32
+	Offset       int64   // in bytes, from the start of the namespace
+	Len          int64   // in bytes; 0 for Flush
+	Buffer       *Buffer // Write: the data, from At on; Read: the destination
+	BufferOffset int64
+	Key          uint64 // identifies the request to nodes that can drop repeats
+	Durable      bool   // a change must be on stable storage before it is answered
 
 	Owner  any // set by the caller of Back.Start
 	Handle any // owned by the back; kept when the attempt is started again
@@ -31,7 +31,7 @@
 	if a.Buffer == nil {
 		return nil
 	}
-	return a.Buffer.B[a.At : a.At+a.Len]
+	return a.Buffer.B[a.BufferOffset : a.BufferOffset+a.Len]
 }
 
 // Result is how an attempt ended, in the terms of package logic.
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -370,7 +370,7 @@
 		p.rest = now + c.cfg.Logic.Rules.OrderPause
 	case logic.OK:
 		if !p.answered && p.op.Kind == block.Read {
-			p.result, p.at = a.Buffer.Hold(), a.At
+			p.result, p.at = a.Buffer.Hold(), a.BufferOffset
 		}
 	}
 	if p.object != nil {
@@ -479,7 +479,7 @@
 	if s.StopAt > 0 {
 		a.drive.Deadline = min(a.drive.Deadline, s.StopAt)
 	}
-	a.Node, a.Kind, a.Len, a.Offset, a.At, a.Key = s.Node, op.Kind, p.len, 0, 0, 0
+	a.Node, a.Kind, a.Len, a.Offset, a.BufferOffset, a.Key = s.Node, op.Kind, p.len, 0, 0, 0
 	room := true
 	if p.object != nil {
 		room = c.findRoom(now, a)
@@ -511,9 +511,9 @@
 		c.recycle(a)
 		return
 	case op.Kind == block.Write:
-		a.Buffer, a.At = op.Buffer.Hold(), p.from+op.at
+		a.Buffer, a.BufferOffset = op.Buffer.Hold(), p.from+op.at
 	case op.Kind == block.Read && p.fresh:
-		a.Buffer, a.At, p.fresh = op.Buffer.Hold(), p.from, false
+		a.Buffer, a.BufferOffset, p.fresh = op.Buffer.Hold(), p.from, false
 	case op.Kind == block.Read:
 		// An earlier attempt may still be read into the op's own buffer, so a further one has its own.
 		if !p.vol.memory.TryAcquire(p.len) {
