--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -378,7 +378,7 @@
 	}
 	c.host.AddEvent(logic.AttemptEnded{
 		Request: p.id, Attempt: a.drive.Number, Node: a.Node, Outcome: r.Outcome, Took: now - a.drive.Sent,
-		Settled: r.Outcome == logic.OK || p.answered, Elsewhere: int(r.Elsewhere / p.vol.UnitBytes), Load: r.Load,
+		Settled: r.Outcome == logic.OK || p.answered, Elsewhere: int(r.BytesElsewhere / p.vol.UnitBytes), Load: r.Load,
 	})
 	if r.Outcome == logic.OK {
 		c.answer(now, p, ranges.Served, 0)
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -732,7 +732,7 @@
 		if t.report.Busy <= 100 {
 			r.Load.Busy = float64(t.report.Busy) / 100
 		}
-		r.Elsewhere = int64(t.report.ElsewhereKiB) << 10
+		r.BytesElsewhere = int64(t.report.ElsewhereKiB) << 10
 	}
 	n.sink.AttemptEnded(t.attempt, r)
 }
