--- a/internal/block/attempt.go
+++ b/internal/block/attempt.go
@@ -38,7 +38,7 @@
 type Result struct {
 	Outcome        logic.Outcome
 	Load           logic.Load
-	Out, In        int64 // bytes of this attempt on the connection, headers included
+	BytesOut, In   int64 // bytes of this attempt on the connection, headers included
 	BytesElsewhere int64 // bytes the node has served for the namespace to other hosts since its last answer here
 }
 
