--- a/internal/block/attempt.go
+++ b/internal/block/attempt.go
@@ -36,10 +36,10 @@
 
 // Result is how an attempt ended, in the terms of package logic.
 type Result struct {
-	Outcome        logic.Outcome
-	Load           logic.Load
-	BytesOut, In   int64 // bytes of this attempt on the connection, headers included
-	BytesElsewhere int64 // bytes the node has served for the namespace to other hosts since its last answer here
+	Outcome           logic.Outcome
+	Load              logic.Load
+	BytesOut, BytesIn int64 // bytes of this attempt on the connection, headers included
+	BytesElsewhere    int64 // bytes the node has served for the namespace to other hosts since its last answer here
 }
 
 // Back carries out attempts. Neither method blocks.
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -141,7 +141,7 @@
 		n.Zone = -1
 	}
 	if c.foreign(n.Zone) {
-		switch bytes := float64(r.BytesOut+r.In) - a.asked; {
+		switch bytes := float64(r.BytesOut+r.BytesIn) - a.asked; {
 		case bytes >= 0:
 			c.budget.Charge(now, bytes)
 		default:
@@ -155,7 +155,7 @@
 	row := c.row(k)
 	row.Attempts++
 	row.Out += r.BytesOut
-	row.In += r.In
+	row.In += r.BytesIn
 }
 
 // zones takes news of the nodes: which cells are at home, and which zones have lost how many.
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -76,7 +76,7 @@
 	}
 	a := h.out[0]
 	h.out = h.out[1:]
-	h.c.Ended(h.now, a, block.Result{Outcome: o, Load: logic.NoLoad, BytesOut: out, In: in})
+	h.c.Ended(h.now, a, block.Result{Outcome: o, Load: logic.NoLoad, BytesOut: out, BytesIn: in})
 	h.pass(0)
 }
 
--- a/internal/nvme/initiator/node.go
+++ b/internal/nvme/initiator/node.go
@@ -726,7 +726,7 @@
 		failCall(t)
 		return
 	}
-	r := block.Result{Outcome: t.outcome, Load: logic.NoLoad, BytesOut: t.bytesSent, In: t.bytesReceived}
+	r := block.Result{Outcome: t.outcome, Load: logic.NoLoad, BytesOut: t.bytesSent, BytesIn: t.bytesReceived}
 	if t.hasReport {
 		r.Load.Holds, r.Load.Waits = float64(t.report.Requests), float64(t.report.Waiting)
 		if t.report.Busy <= 100 {
