--- a/internal/block/attempt.go
+++ b/internal/block/attempt.go
@@ -17,7 +17,7 @@
 	Namespace    uint32
 	Offset       int64   // in bytes, from the start of the namespace
 	Len          int64   // in bytes; 0 for Flush
-	Buffer       *Buffer // Write: the data, from At on; Read: the destination
+	Buffer       *Buffer // Write: the data, from BufferOffset on; Read: the destination
 	BufferOffset int64
 	Key          uint64 // identifies the request to nodes that can drop repeats
 	Durable      bool   // a change must be on stable storage before it is answered
@@ -38,7 +38,7 @@
 type Result struct {
 	Outcome           logic.Outcome
 	Load              logic.Load
-	BytesOut, BytesIn int64 // bytes of this attempt on the connection, headers included
+	BytesOut, BytesIn int64 // sent and received on the connection for this attempt, headers included
 	BytesElsewhere    int64 // bytes the node has served for the namespace to other hosts since its last answer here
 }
 
