--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -7,12 +7,12 @@
 	"appleplank/logic"
 )
 
-type nobody struct{}
+type discardFront struct{}
 
-func (nobody) Done(*Op)                  {}
-func (nobody) Sending(*Op, logic.NodeID) {}
+func (discardFront) Done(*Op)                  {}
+func (discardFront) Sending(*Op, logic.NodeID) {}
 
-// BenchmarkCore is a read from Take to its answer without sockets: what deciding and keeping the books costs.
+// BenchmarkCore measures a read from Take to its answer without sockets: the cost of scheduling and accounting.
 func BenchmarkCore(b *testing.B) {
 	cfg := config(b, b.TempDir())
 	c, err := NewCore(cfg, 1, 1)
@@ -25,7 +25,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		op := NewOp()
-		op.Kind, op.Len, op.Front = block.Read, 4096, nobody{}
+		op.Kind, op.Len, op.Front = block.Read, 4096, discardFront{}
 		op.Buffer = block.NewBuffer(4096, nil)
 		c.Take(now, op)
 		for _, a := range c.Step(now) {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -1,7 +1,7 @@
-// Package engine carries block requests from the fronts to the nodes and their answers home. [Core] is a plain
-// struct without clock, socket or goroutine: what happens goes in, what to do comes out, and it runs the same in
-// simulated time. [Engine] is the thin shell that gives it real time and sockets. Every send, repeat, refusal and
-// wait comes from package logic, the order of overlapping changes from package ranges.
+// Package engine dispatches block requests from the fronts to the nodes and returns their answers. [Core] is a plain
+// struct without clock, sockets or goroutines: events go in, actions come out, so that it also runs in simulated time.
+// [Engine] is the thin shell that connects it to real time and sockets. Package logic decides on every send, retry,
+// refusal and wait; package ranges decides the order of overlapping changes.
 package engine
 
 import (
@@ -20,7 +20,7 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// ActionKind says what an action asks for.
+// ActionKind is the kind of an [Action].
 type ActionKind uint8
 
 const (
@@ -28,82 +28,82 @@
 	Drop                     // drop Attempt
 	Finish                   // answer Op
 	Note                     // log Text
-	Keep                     // bring Mark to stable storage and say so with Kept; those of a region in turn
-	Forget                   // take Mark away, some time
+	Keep                     // write Mark to stable storage and report with Kept; marks of one region in order
+	Forget                   // delete Mark; may be delayed
 )
 
-// Action is something to do, in turn.
+// Action is one step for the caller to carry out. Actions are carried out in order.
 type Action struct {
 	Kind    ActionKind
 	Attempt *block.Attempt
-	Op      *Op // of Start too; without a front where a copy is caught up
+	Op      *Op // also set for Start; its Front is nil where a copy is caught up
 	Text    string
 	Mark    Mark
 }
 
-// Mark is what must outlast the process of a region of a mirrored extent.
+// Mark is the state of a region of a mirrored extent that must survive a restart of the process.
 type Mark = copies.At
 
-// Tally counts what the core has done since it began, and what it holds now.
+// Tally counts what the core has done since its creation, and what it holds now.
 type Tally struct {
 	Taken, Gone    uint64
 	Answers        [3]uint64 // by verdict
 	Sends, Repeats uint64
-	Held           uint64 // changes held back because they overlapped several
-	Elsewhere      uint64 // reads that went on at another copy
-	NoMemory       uint64 // attempts not made for want of a buffer
+	Held           uint64 // changes held back because they overlapped changes of several keys, or one held back
+	Elsewhere      uint64 // reads that were retried at another copy
+	NoMemory       uint64 // attempts not made because no buffer memory was free
 	Outcomes       [8]uint64
-	LateEnds       uint64 // ends of attempts that logic had been told of as timed out
-	Ops            int    // taken and not forgotten
+	LateEnds       uint64 // ends of attempts that had been reported to logic as timed out
+	Ops            int    // accepted and not yet released
 	Pieces         int
-	Out            int // attempts whose ends logic waits for
-	Attempts       int // attempts the back has not ended
+	Out            int // attempts whose ends have not been reported to logic
+	Attempts       int // attempts that the back has not reported as ended
 }
 
-// Core is the engine without time and sockets. What it holds is bounded by what fronts hand it: an op lives until
+// Core is the engine without time and sockets. What it holds is bounded by what the fronts hand it: an op lives until
 // its deadline, its attempts as long as the back keeps them.
 type Core struct {
-	cfg     *settings.Config
-	host    drive.Host
-	vols    []volume
-	pieces  map[logic.RequestID]*piece
-	lastID  uint64
-	nonce   uint64
-	out     []Action
-	before  []Action // those of the last Step, to be used again
-	pool    []*attempt
-	tally   Tally
-	budget  *crossing.Budget
-	nodes   map[logic.NodeID]logic.Node
-	home    map[int]bool // cells that a ready node of this gateway's zone holds
-	ready   map[int]bool // cells that a ready node holds
-	ledger  map[ledgerKey]*Crossed
-	mirrors mirrors
+	cfg          *settings.Config
+	host         drive.Host
+	volumes      []volume
+	pieces       map[logic.RequestID]*piece
+	lastID       uint64
+	keyNonce     uint64
+	actions      []Action
+	spareActions []Action // returned by the last Step; the slice is reused
+	freeAttempts []*attempt
+	tally        Tally
+	budget       *crossing.Budget
+	nodes        map[logic.NodeID]logic.Node
+	localCells   map[int]bool // cells with a ready node in this gateway's zone
+	readyCells   map[int]bool // cells with a ready node
+	ledger       map[ledgerKey]*Crossed
+	mirrors      mirrorState
 }
 
 type volume struct {
 	*settings.Volume
-	index  int
-	orders []*ranges.Order // one for each copy that an extent has; what has no mirrors uses the first
-	sets   []*mirror       // for each extent; nil where it has one copy
-	memory *semaphore.Weighted
-	space  *slabs.Space // of a volume of objects
+	index   int
+	orders  []*ranges.Order // one per copy index; an extent without mirrors uses the first
+	mirrors []*mirror       // one per extent; nil where it has only one copy
+	memory  *semaphore.Weighted
+	space   *slabs.Space // nil unless it is a volume of objects
 }
 
-// attempt is one Send of logic's.
+// attempt is the attempt started by one [logic.Send].
 type attempt struct {
 	block.Attempt
-	p      *piece
-	drive  drive.Attempt
-	volume int
-	class  int
-	reason Reason
-	object int64   // byte of the volume, of a new object
-	asked  float64 // bytes of the budget that it has been let through with
+	piece        *piece
+	drive        drive.Attempt
+	volume       int
+	class        int
+	reason       Reason
+	objectOffset int64   // offset of a new object in the volume, in bytes
+	budgetBytes  float64 // bytes of the crossing budget reserved for it
 }
 
-// NewCore makes a core. The nonce sets its repeat keys apart from those of other gateways and of its own earlier
-// lives; only its low 32 bits count.
+// NewCore returns a core. The nonce distinguishes its idempotency keys from those of other gateways and of earlier
+// processes of this gateway; only its low 32 bits count.
 func NewCore(cfg *settings.Config, seed, nonce uint64) (*Core, error) {
 	host, err := logic.New(cfg.Logic, seed)
 	if err != nil {
@@ -113,8 +113,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{cfg: cfg, host: drive.Host{Host: host}, pieces: map[logic.RequestID]*piece{}, nonce: nonce << 32, budget: budget,
-		nodes: map[logic.NodeID]logic.Node{}, home: map[int]bool{}, ready: map[int]bool{}, ledger: map[ledgerKey]*Crossed{}}
+	c := &Core{cfg: cfg, host: drive.Host{Host: host}, pieces: map[logic.RequestID]*piece{}, keyNonce: nonce << 32, budget: budget,
+		nodes: map[logic.NodeID]logic.Node{}, localCells: map[int]bool{}, readyCells: map[int]bool{}, ledger: map[ledgerKey]*Crossed{}}
 	lastKey := uint64(0)
 	for i := range cfg.Volumes {
 		v := &cfg.Volumes[i]
@@ -127,9 +127,9 @@
 				if err != nil {
 					return nil, err
 				}
-				m = &mirror{Set: set, extent: j, x: x}
+				m = &mirror{Set: set, extentIndex: j, extent: x}
 			}
-			vol.sets = append(vol.sets, m)
+			vol.mirrors = append(vol.mirrors, m)
 			for len(vol.orders) < len(x.Copies) {
 				vol.orders = append(vol.orders, ranges.New(func() uint64 { lastKey++; return lastKey }))
 			}
@@ -137,38 +137,39 @@
 		if v.Objects {
 			vol.space = newSpace(v)
 		}
-		c.vols = append(c.vols, vol)
+		c.volumes = append(c.volumes, vol)
 	}
-	for i := range c.vols {
-		for _, m := range c.vols[i].sets {
+	for i := range c.volumes {
+		for _, m := range c.volumes[i].mirrors {
 			if m != nil {
-				m.vol = &c.vols[i]
+				m.volume = &c.volumes[i]
 			}
 		}
 	}
 	return c, nil
 }
 
-// Remember gives the core what an earlier process has learned, before anything happens. Where that process did not
-// end by itself, changes wait until its attempts are surely over.
+// Remember restores what an earlier process has learned. It must be called before any event. Where that process did not
+// shut down in good order, call [Core.Rest] too.
 func (c *Core) Remember(now logic.Micros, m logic.Memory) error { return c.host.Remember(now, m) }
 
-// Rest holds changes back for the time of the order rule's pause, as attempts of a process that was killed may run.
+// Rest holds all changes back for the order rule's pause (OrderPause), because attempts of a killed process may still
+// run.
 func (c *Core) Rest(now logic.Micros) {
-	for i := range c.vols {
-		for _, o := range c.vols[i].orders {
+	for i := range c.volumes {
+		for _, o := range c.volumes[i].orders {
 			o.Rest(now + c.cfg.Logic.Rules.OrderPause)
 		}
-		if s := c.vols[i].space; s != nil {
+		if s := c.volumes[i].space; s != nil {
 			s.Rest(now + c.cfg.Logic.Rules.OrderPause)
 		}
 	}
 }
 
-// Quiet tells whether nothing is held, and nothing that was sent may still run at a node.
+// Quiet reports whether nothing is held and nothing that was sent may still run at a node.
 func (c *Core) Quiet() bool {
-	for i := range c.vols {
-		for _, o := range c.vols[i].orders {
+	for i := range c.volumes {
+		for _, o := range c.volumes[i].orders {
 			if live, held, resting := o.Len(); live+held+resting > 0 {
 				return false
 			}
@@ -177,108 +178,110 @@
 	return c.tally.Ops == 0 && c.tally.Attempts == 0
 }
 
-// Learned copies what the core has learned by now.
+// Learned returns a snapshot of what the core has learned.
 func (c *Core) Learned(now logic.Micros) logic.Memory { return c.host.Memory(now) }
 
-// Memory is what bounds a volume's buffers; fronts draw on it for what they take.
-func (c *Core) Memory(volume int) *semaphore.Weighted { return c.vols[volume].memory }
+// Memory returns the semaphore that bounds a volume's buffers. Fronts acquire from it for the requests that they
+// accept.
+func (c *Core) Memory(volume int) *semaphore.Weighted { return c.volumes[volume].memory }
 
-// Tally tells the counts so far.
+// Tally returns the current counts.
 func (c *Core) Tally() Tally {
 	t := c.tally
 	t.Pieces = len(c.pieces)
 	return t
 }
 
-// ---- what happens ----
+// ---- Events ----
 
-// Take is a request from a front, which has checked that its range lies in the volume and that the volume's table
-// knows its kind.
+// Take accepts a request from a front. The front has checked that its range lies in the volume and that the volume's
+// table covers its kind.
 func (c *Core) Take(now logic.Micros, op *Op) {
 	c.tally.Taken++
 	c.tally.Ops++
-	v := &c.vols[op.Volume]
-	op.taken = now
-	// What may have run before counts as a part that was served: a refusal of the rest would promise too much. It
-	// guards against a request taken up after a restart that then finds no room; found by the day of restarts.
-	op.joined, op.answer = op.Ran, ranges.Served
+	v := &c.volumes[op.Volume]
+	op.takenAt = now
+	// A request that may have run in an earlier process counts as having one served part, since a refusal of the rest
+	// would promise too much. This guards against a request that is resumed after a restart and then finds no node with
+	// free capacity.
+	op.hasAnswer, op.answer = op.Ran, ranges.Served
 	op.Class, _ = v.Class(op.Kind, op.Len)
-	by := now + cmp.Or(op.Left, c.cfg.Logic.Classes[op.Class].Deadline) - c.cfg.Times.AnswerMargin
-	op.left, op.alive = 1, 1 // until all parts are made, so that none ends it before
+	deadline := now + cmp.Or(op.Left, c.cfg.Logic.Classes[op.Class].Deadline) - c.cfg.Times.AnswerMargin
+	op.unanswered, op.unreleased = 1, 1 // held until all parts exist, so that no part ends the op early
 	if op.Fresh {
-		c.newObject(now, op, v, by)
-	} else if op.Kind == block.Flush { // to each namespace the volume lies on; mirrored changes are durable already
+		c.beginObject(now, op, v, deadline)
+	} else if op.Kind == block.Flush { // one flush per namespace of the volume; changes of mirrored extents are durable already
 		for i := range v.Extents {
 			if x := &v.Extents[i]; len(x.Copies) == 1 && !sameNamespace(v.Extents[:i], x) {
-				c.part(now, c.newPiece(op, v, x, 0, 0, 0, by))
+				c.admit(now, c.newPiece(op, v, x, 0, 0, 0, deadline))
 			}
 		}
 	} else {
-		part := 0
-		ranges.Split(op.Offset, op.Len, func(at int64) int64 { x := &v.Extents[v.find(at)]; return x.Start + x.Len },
+		partNumber := 0
+		ranges.Split(op.Offset, op.Len, func(at int64) int64 { x := &v.Extents[v.extentAt(at)]; return x.Start + x.Len },
 			func(from, n int64) {
-				i := v.find(from)
+				i := v.extentAt(from)
 				switch x := &v.Extents[i]; {
-				case v.sets[i] == nil:
-					p := c.newPiece(op, v, x, 0, from-op.Offset, n, by)
-					p.number = part
-					c.part(now, p)
+				case v.mirrors[i] == nil:
+					p := c.newPiece(op, v, x, 0, from-op.Offset, n, deadline)
+					p.keyNumber = partNumber
+					c.admit(now, p)
 				case op.Kind.Changes():
-					c.begin(now, op, v.sets[i], from, n, by, part)
+					c.beginChange(now, op, v.mirrors[i], from, n, deadline, partNumber)
 				default:
-					c.read(now, op, v.sets[i], from, n, by)
+					c.beginRead(now, op, v.mirrors[i], from, n, deadline)
 				}
-				part++
+				partNumber++
 			})
 	}
 	for _, p := range op.pieces {
-		c.forget(now, p) // those that were refused here
+		c.releasePiece(now, p) // pieces that were refused above
 	}
-	c.settled(now, op)
-	c.let(op)
+	c.partAnswered(now, op)
+	c.releaseOp(op)
 }
 
-// newPiece makes a piece of an op and counts it as owed an answer.
-func (c *Core) newPiece(op *Op, v *volume, x *settings.Extent, copy int, from, n int64, by logic.Micros) *piece {
+// newPiece adds a piece to an op and counts it as unanswered.
+func (c *Core) newPiece(op *Op, v *volume, x *settings.Extent, copyIndex int, opOffset, n int64, deadline logic.Micros) *piece {
 	c.lastID++
 	p := piecePool.Get().(*piece)
-	*p = piece{id: logic.RequestID(c.lastID), op: op, vol: v, extent: x, copy: copy, from: from, len: n, units: v.Units(n),
-		dropDead: by, fresh: true, ordered: op.Kind.Changes()}
+	*p = piece{id: logic.RequestID(c.lastID), op: op, volume: v, extent: x, copyIndex: copyIndex, opOffset: opOffset, len: n, units: v.Units(n),
+		deadline: deadline, opBufferUnused: true, ordered: op.Kind.Changes()}
 	if x != nil {
-		p.place = &x.Copies[copy]
+		p.place = &x.Copies[copyIndex]
 	}
 	op.pieces = append(op.pieces, p)
-	op.left++
-	op.alive++
+	op.unanswered++
+	op.unreleased++
 	c.pieces[p.id] = p
 	return p
 }
 
-// part lets a piece go to its place.
-func (c *Core) part(now logic.Micros, p *piece) {
-	if wait, ok := c.mayCross(now, p); !ok {
-		c.answer(now, p, ranges.Refused, wait)
+// admit dispatches a piece if the crossing budget allows it, and refuses it otherwise.
+func (c *Core) admit(now logic.Micros, p *piece) {
+	if wait, ok := c.requestCrossing(now, p); !ok {
+		c.answerPiece(now, p, ranges.Refused, wait)
 		return
 	}
-	c.launch(p)
+	c.dispatch(p)
 }
 
-// launch hands a piece to logic, a change in its turn.
-func (c *Core) launch(p *piece) {
+// dispatch hands a piece to logic. A change waits until overlapping earlier changes are done.
+func (c *Core) dispatch(p *piece) {
 	if !p.ordered {
-		c.arrive(p, 0)
+		c.submit(p, 0)
 		return
 	}
-	start := p.op.Offset + p.from
-	if key, ok := p.vol.orders[p.copy].Take(p.id, start, start+p.len, p.dropDead); ok {
-		c.arrive(p, key)
+	start := p.op.Offset + p.opOffset
+	if key, ok := p.volume.orders[p.copyIndex].Take(p.id, start, start+p.len, p.deadline); ok {
+		c.submit(p, key)
 	} else {
 		p.held = true
 		c.tally.Held++
 	}
 }
 
-// sameNamespace tells whether an earlier extent without mirrors lies in the same namespace of the same cell.
+// sameNamespace reports whether an earlier extent without mirrors lies in the same namespace of the same cell.
 func sameNamespace(before []settings.Extent, x *settings.Extent) bool {
 	for i := range before {
 		if len(before[i].Copies) == 1 && before[i].Cell == x.Cell && before[i].Namespace == x.Namespace {
@@ -288,8 +291,8 @@
 	return false
 }
 
-// find is the extent that holds a byte of the volume.
-func (v *volume) find(at int64) (index int) {
+// extentAt returns the index of the extent that holds the given byte of the volume.
+func (v *volume) extentAt(at int64) (index int) {
 	lo, hi := 0, len(v.Extents)
 	for lo < hi {
 		if m := (lo + hi) / 2; v.Extents[m].Start+v.Extents[m].Len <= at {
@@ -301,48 +304,48 @@
 	return lo
 }
 
-func (c *Core) arrive(p *piece, key uint64) {
+func (c *Core) submit(p *piece, key uint64) {
 	p.held = false
 	a := logic.Arrival{
-		Request: p.id, Class: p.op.Class, Cell: p.cell(), Key: key, Volume: logic.VolumeID(p.vol.Account),
-		Plan: p.vol.Plan, Attached: p.vol.Attached, Units: p.units, DropDead: p.dropDead, Tried: p.tries, Once: p.way.Once,
+		Request: p.id, Class: p.op.Class, Cell: p.cell(), Key: key, Volume: logic.VolumeID(p.volume.Account),
+		Plan: p.volume.Plan, Attached: p.volume.Attached, Units: p.units, DropDead: p.deadline, Tried: p.attempts, Once: p.route.Once,
 	}
 	a.Home = p.object != nil && p.object.Home
-	if p.op.fill != nil { // a queue of its own, so that it yields to the volume's
-		a.Volume, a.Plan = fillVolume|a.Volume, c.cfg.Copies.Plan
+	if p.op.fill != nil { // a separate queue, so that catching up yields to the volume's requests
+		a.Volume, a.Plan = fillVolumeBit|a.Volume, c.cfg.Copies.Plan
 	}
 	c.host.AddEvent(a)
 }
 
-// Gone says that the client of a request has left. What is out runs on as logic decides.
+// Gone reports that the client of a request has left. Attempts in flight go on as logic decides.
 func (c *Core) Gone(now logic.Micros, op *Op) {
-	if op.over || op.gone {
+	if op.answered || op.clientGone {
 		return
 	}
-	op.gone = true
+	op.clientGone = true
 	c.tally.Gone++
 	for _, ch := range op.changes {
 		ch.mirror.Gone(now, &ch.Change)
-		c.carry(now, ch.mirror)
+		c.applyMirrorActions(now, ch.mirror)
 	}
 	for _, p := range op.pieces {
-		if p.answered || p.change != nil { // a change goes on at the copies, so that they stay the same
+		if p.answered || p.change != nil { // a change goes on at all copies, so that they stay identical
 			continue
 		}
 		p.answered = true
 		if !p.held {
 			c.host.AddEvent(logic.ClientGone{Request: p.id})
 		}
-		c.forget(now, p)
+		c.releasePiece(now, p)
 	}
 }
 
-// Ended is the end of an attempt, as the back tells it.
+// Ended reports the end of an attempt, as the back delivers it.
 func (c *Core) Ended(now logic.Micros, b *block.Attempt, r block.Result) {
 	a := b.Owner.(*attempt)
-	c.crossed(now, a, r)
+	c.settleTransfer(now, a, r)
 	if c.host.MarkEnded(&a.drive) {
-		c.tell(now, a, r)
+		c.reportEnd(now, a, r)
 	} else {
 		c.tally.LateEnds++
 	}
@@ -351,26 +354,26 @@
 
 func (c *Core) recycle(a *attempt) {
 	a.Buffer.Release()
-	a.Buffer, a.p = nil, nil
+	a.Buffer, a.piece = nil, nil
 	c.tally.Attempts--
-	c.pool = append(c.pool, a)
+	c.freeAttempts = append(c.freeAttempts, a)
 }
 
-// tell gives logic the end of an attempt.
-func (c *Core) tell(now logic.Micros, a *attempt, r block.Result) {
-	p := a.p
+// reportEnd reports the end of an attempt to logic.
+func (c *Core) reportEnd(now logic.Micros, a *attempt, r block.Result) {
+	p := a.piece
 	c.tally.Outcomes[r.Outcome]++
 	c.tally.Out--
-	p.out--
+	p.outstanding--
 	switch r.Outcome {
 	case logic.Failed:
-		p.ran = true
+		p.mayHaveRun = true
 	case logic.TimedOut, logic.Reset, logic.Cancelled:
-		p.ran = true
-		p.rest = now + c.cfg.Logic.Rules.OrderPause
+		p.mayHaveRun = true
+		p.runningUntil = now + c.cfg.Logic.Rules.OrderPause
 	case logic.OK:
 		if !p.answered && p.op.Kind == block.Read {
-			p.result, p.at = a.Buffer.Hold(), a.At
+			p.result, p.resultOffset = a.Buffer.Hold(), a.At
 		}
 	}
 	if p.object != nil {
@@ -378,90 +381,90 @@
 	}
 	c.host.AddEvent(logic.AttemptEnded{
 		Request: p.id, Attempt: a.drive.Number, Node: a.Node, Outcome: r.Outcome, Took: now - a.drive.Sent,
-		Settled: r.Outcome == logic.OK || p.answered, Elsewhere: int(r.Elsewhere / p.vol.UnitBytes), Load: r.Load,
+		Settled: r.Outcome == logic.OK || p.answered, Elsewhere: int(r.Elsewhere / p.volume.UnitBytes), Load: r.Load,
 	})
 	if r.Outcome == logic.OK {
-		c.answer(now, p, ranges.Served, 0)
+		c.answerPiece(now, p, ranges.Served, 0)
 	}
-	c.forget(now, p)
+	c.releasePiece(now, p)
 }
 
-// Nodes is news of the nodes.
+// Nodes reports changes of the node list.
 func (c *Core) Nodes(now logic.Micros, nodes []logic.Node) {
 	if len(nodes) > 0 {
 		c.host.AddEvent(logic.NodeList{Kind: logic.ListDelta, Nodes: nodes})
-		c.zones(now, nodes)
+		c.updateNodes(now, nodes)
 	}
 }
 
-// Next is when Step must be called at the latest; 0: not before something happens.
+// Next returns the time at which Step must be called at the latest, or 0 if not before the next event.
 func (c *Core) Next() (at logic.Micros) {
-	if len(c.out) > 0 {
+	if len(c.actions) > 0 {
 		return 1
 	}
-	soon := func(t logic.Micros) {
+	consider := func(t logic.Micros) {
 		if t > 0 && (at == 0 || t < at) {
 			at = t
 		}
 	}
-	soon(c.host.Next())
-	for i := range c.vols {
-		for _, o := range c.vols[i].orders {
-			soon(o.Next())
+	consider(c.host.Next())
+	for i := range c.volumes {
+		for _, o := range c.volumes[i].orders {
+			consider(o.Next())
 		}
 	}
-	soon(c.mirrors.next)
+	consider(c.mirrors.nextAt)
 	return at
 }
 
-// Step lets all that has happened by now take its effect. The actions are valid until the next Step.
+// Step processes all events so far and returns the resulting actions, which are valid until the next Step.
 func (c *Core) Step(now logic.Micros) []Action {
 	for due := c.host.PopExpired(now); due != nil; due = c.host.PopExpired(now) {
 		a := due.Owner.(*attempt)
-		c.out = append(c.out, Action{Kind: Drop, Attempt: &a.Attempt})
-		c.tell(now, a, block.Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
+		c.actions = append(c.actions, Action{Kind: Drop, Attempt: &a.Attempt})
+		c.reportEnd(now, a, block.Result{Outcome: logic.TimedOut, Load: logic.NoLoad})
 	}
-	for i := range c.vols {
-		for _, o := range c.vols[i].orders {
-			o.Expired(now, func(id logic.RequestID) { c.refuse(now, id, ranges.Refused, 0) })
-			o.Free(now, func(id logic.RequestID, key uint64) { c.arrive(c.pieces[id], key) })
+	for i := range c.volumes {
+		for _, o := range c.volumes[i].orders {
+			o.Expired(now, func(id logic.RequestID) { c.endUnserved(now, id, ranges.Refused, 0) })
+			o.Free(now, func(id logic.RequestID, key uint64) { c.submit(c.pieces[id], key) })
 		}
 	}
 	for _, x := range c.host.Run(now) {
-		c.act(now, x)
+		c.apply(now, x)
 	}
-	c.tend(now) // after logic has heard of the nodes
-	out := c.out
-	clear(c.before)
-	c.out, c.before = c.before[:0], out
+	c.advanceMirrors(now) // after logic has processed the changed node list
+	out := c.actions
+	clear(c.spareActions)
+	c.actions, c.spareActions = c.spareActions[:0], out
 	return out
 }
 
-// ---- what to do ----
+// ---- Actions ----
 
-func (c *Core) act(now logic.Micros, x logic.Action) {
+func (c *Core) apply(now logic.Micros, x logic.Action) {
 	switch x := x.(type) {
 	case logic.Send:
 		c.send(now, x)
 	case logic.Deny:
-		c.refuse(now, x.Request, ranges.Refused, x.CoolDown)
+		c.endUnserved(now, x.Request, ranges.Refused, x.CoolDown)
 	case logic.Surrender:
-		c.refuse(now, x.Request, ranges.Failed, 0)
-	case logic.Wake: // seen to by drive
+		c.endUnserved(now, x.Request, ranges.Failed, 0)
+	case logic.Wake: // handled by package drive
 	case logic.Note:
-		c.out = append(c.out, Action{Kind: Note, Text: x.Text})
+		c.actions = append(c.actions, Action{Kind: Note, Text: x.Text})
 	case logic.Abort, logic.Probe, logic.Watch, logic.Fetch:
-		// The module has these for other callers; here a time-out aborts, reports come with answers, and the node
-		// list is pushed.
-		c.out = append(c.out, Action{Kind: Note, Text: fmt.Sprintf("logic asks for %T, which this engine has no use for", x)})
+		// Package logic has these actions for other callers. Here a timeout aborts the attempt, load reports arrive
+		// with answers, and the node list is pushed.
+		c.actions = append(c.actions, Action{Kind: Note, Text: fmt.Sprintf("logic requested %T, which the engine does not support", x)})
 	}
 }
 
-// refuse ends a piece without service.
-func (c *Core) refuse(now logic.Micros, id logic.RequestID, how ranges.Answer, coolDown logic.Micros) {
+// endUnserved ends a piece that was not served.
+func (c *Core) endUnserved(now logic.Micros, id logic.RequestID, answer ranges.Answer, coolDown logic.Micros) {
 	if p := c.pieces[id]; p != nil {
-		c.answer(now, p, how, coolDown)
-		c.forget(now, p)
+		c.answerPiece(now, p, answer, coolDown)
+		c.releasePiece(now, p)
 	}
 }
 
@@ -472,67 +475,68 @@
 	}
 	a := c.newAttempt()
 	op := p.op
-	a.p = p
-	a.drive.Request, a.drive.Number, a.drive.Node, a.drive.Sent, a.drive.Deadline = p.id, p.tries-p.before, s.Node, now, p.dropDead
-	a.reason = c.reason(p)
-	a.volume, a.class, a.asked, p.asked = op.Volume, op.Class, p.asked, 0
+	a.piece = p
+	a.drive.Request, a.drive.Number, a.drive.Node, a.drive.Sent, a.drive.Deadline = p.id, p.attempts-p.earlierAttempts, s.Node, now, p.deadline
+	a.reason = c.attemptReason(p)
+	a.volume, a.class, a.budgetBytes, p.budgetBytes = op.Volume, op.Class, p.budgetBytes, 0
 	if s.StopAt > 0 {
 		a.drive.Deadline = min(a.drive.Deadline, s.StopAt)
 	}
 	a.Node, a.Kind, a.Len, a.Offset, a.At, a.Key = s.Node, op.Kind, p.len, 0, 0, 0
-	room := true
+	allocated := true
 	if p.object != nil {
-		room = c.findRoom(now, a)
+		allocated = c.allocateSpace(now, a)
 	} else {
 		a.Namespace = p.place.Namespace
 	}
-	// A copy that loses what it had not stored yet would be read as if nothing had happened.
+	// Changes of mirrored extents are always durable: a copy that lost a change it had not stored would be read as if
+	// it were up to date.
 	a.Durable = op.Durable || p.extent != nil && len(p.extent.Copies) > 1
 	if op.Kind != block.Flush && p.object == nil {
-		a.Offset = p.place.Base + op.Offset + p.from - p.extent.Start
+		a.Offset = p.place.Base + op.Offset + p.opOffset - p.extent.Start
 	}
 	if op.Kind.Changes() {
-		if a.Key = c.nonce | uint64(p.id)&0xffffffff; op.Key != 0 {
-			a.Key = op.Key + uint64(p.number)<<1
+		if a.Key = c.keyNonce | uint64(p.id)&0xffffffff; op.Key != 0 {
+			a.Key = op.Key + uint64(p.keyNumber)<<1
 		}
 	}
 	c.tally.Sends++
-	if p.tries > 0 {
+	if p.attempts > 0 {
 		c.tally.Repeats++
 	}
-	p.tries++
-	p.out++
+	p.attempts++
+	p.outstanding++
 	c.tally.Out++
 	c.tally.Attempts++
 	switch {
-	case !room:
-		c.budget.Back(now, a.asked)
-		c.tell(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
+	case !allocated:
+		c.budget.Back(now, a.budgetBytes)
+		c.reportEnd(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
 		c.recycle(a)
 		return
 	case op.Kind == block.Write:
-		a.Buffer, a.At = op.Buffer.Hold(), p.from+op.at
-	case op.Kind == block.Read && p.fresh:
-		a.Buffer, a.At, p.fresh = op.Buffer.Hold(), p.from, false
+		a.Buffer, a.At = op.Buffer.Hold(), p.opOffset+op.bufferOffset
+	case op.Kind == block.Read && p.opBufferUnused:
+		a.Buffer, a.At, p.opBufferUnused = op.Buffer.Hold(), p.opOffset, false
 	case op.Kind == block.Read:
-		// An earlier attempt may still be read into the op's own buffer, so a further one has its own.
-		if !p.vol.memory.TryAcquire(p.len) {
+		// An earlier attempt may still read into the op's buffer, so a further one gets a buffer of its own.
+		if !p.volume.memory.TryAcquire(p.len) {
 			c.tally.NoMemory++
-			c.budget.Back(now, a.asked)
-			c.tell(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
+			c.budget.Back(now, a.budgetBytes)
+			c.reportEnd(now, a, block.Result{Outcome: logic.Moot, Load: logic.NoLoad})
 			c.recycle(a)
 			return
 		}
-		a.Buffer = block.NewBuffer(p.len, p.vol.memory.Release)
+		a.Buffer = block.NewBuffer(p.len, p.volume.memory.Release)
 	}
 	c.host.Track(&a.drive)
-	c.out = append(c.out, Action{Kind: Start, Attempt: &a.Attempt, Op: op})
+	c.actions = append(c.actions, Action{Kind: Start, Attempt: &a.Attempt, Op: op})
 }
 
 func (c *Core) newAttempt() *attempt {
-	if n := len(c.pool); n > 0 {
-		a := c.pool[n-1]
-		c.pool = c.pool[:n-1]
+	if n := len(c.freeAttempts); n > 0 {
+		a := c.freeAttempts[n-1]
+		c.freeAttempts = c.freeAttempts[:n-1]
 		return a
 	}
 	a := &attempt{}
@@ -540,74 +544,74 @@
 	return a
 }
 
-// answer takes the final answer of a piece.
-func (c *Core) answer(now logic.Micros, p *piece, how ranges.Answer, coolDown logic.Micros) {
-	if p.answered || how != ranges.Served && c.elsewhere(now, p) {
+// answerPiece records the final answer of a piece, unless the piece is a read that is retried at another copy.
+func (c *Core) answerPiece(now logic.Micros, p *piece, answer ranges.Answer, coolDown logic.Micros) {
+	if p.answered || answer != ranges.Served && c.retryElsewhere(now, p) {
 		return
 	}
 	p.answered = true
 	switch {
 	case p.change != nil:
-		c.copyEnded(now, p, how == ranges.Served, coolDown)
+		c.copyEnded(now, p, answer == ranges.Served, coolDown)
 	case p.op.fill != nil:
-		c.fillEnded(now, p, how == ranges.Served, coolDown)
+		c.fillEnded(now, p, answer == ranges.Served, coolDown)
 	default:
-		c.join(p.op, how, coolDown)
-		c.settled(now, p.op)
+		c.mergeAnswer(p.op, answer, coolDown)
+		c.partAnswered(now, p.op)
 	}
 }
 
-// join adds the answer of a part to that of its op.
-func (c *Core) join(op *Op, how ranges.Answer, coolDown logic.Micros) {
-	op.answer = ranges.Join(op.answer, how, !op.joined, c.cfg.Logic.Classes[op.Class].Repeat)
-	op.joined = true
+// mergeAnswer merges the answer of a part into that of its op.
+func (c *Core) mergeAnswer(op *Op, answer ranges.Answer, coolDown logic.Micros) {
+	op.answer = ranges.Join(op.answer, answer, !op.hasAnswer, c.cfg.Logic.Classes[op.Class].Repeat)
+	op.hasAnswer = true
 	op.CoolDown = max(op.CoolDown, coolDown)
 }
 
-// settled says that a part of an op has its answer; with the last one the op has.
-func (c *Core) settled(now logic.Micros, op *Op) {
-	if op.left--; op.left > 0 || op.gone {
+// partAnswered counts down the unanswered parts of an op. After the last one it finishes the op.
+func (c *Core) partAnswered(now logic.Micros, op *Op) {
+	if op.unanswered--; op.unanswered > 0 || op.clientGone {
 		return
 	}
-	op.over = true
+	op.answered = true
 	op.Verdict = verdicts[op.answer]
 	if op.Verdict != block.Refused {
 		op.CoolDown = 0
-	} else if v := &c.vols[op.Volume]; !op.NoRoom {
+	} else if v := &c.volumes[op.Volume]; !op.NoRoom {
 		op.Limited = c.host.Limited(logic.VolumeID(v.Account), v.Units(op.Len))
 	}
-	op.Took = now - op.taken
+	op.Took = now - op.takenAt
 	c.tally.Answers[op.Verdict]++
-	c.out = append(c.out, Action{Kind: Finish, Op: op})
+	c.actions = append(c.actions, Action{Kind: Finish, Op: op})
 }
 
 var verdicts = [...]block.Verdict{ranges.Served: block.Served, ranges.Refused: block.Refused, ranges.Failed: block.Failed}
 
-// forget lets go of a piece that is answered and has nothing out.
-func (c *Core) forget(now logic.Micros, p *piece) {
-	if !p.answered || p.out > 0 || c.pieces[p.id] != p {
+// releasePiece releases a piece that is answered and has no attempts outstanding.
+func (c *Core) releasePiece(now logic.Micros, p *piece) {
+	if !p.answered || p.outstanding > 0 || c.pieces[p.id] != p {
 		return
 	}
 	delete(c.pieces, p.id)
-	if p.asked > 0 { // it never crossed after all
-		c.budget.Back(now, p.asked)
+	if p.budgetBytes > 0 { // it was never sent
+		c.budget.Back(now, p.budgetBytes)
 	}
 	if p.object != nil {
-		c.letGo(now, p)
+		c.freeUnusedSpace(now, p)
 	}
 	if p.ordered {
-		rest := p.rest
+		rest := p.runningUntil
 		if rest <= now {
 			rest = 0
 		}
-		p.vol.orders[p.copy].Done(p.id, rest)
+		p.volume.orders[p.copyIndex].Done(p.id, rest)
 	}
-	c.let(p.op)
+	c.releaseOp(p.op)
 }
 
-// let lets go of a part of an op; the front's hold keeps that until it has answered.
-func (c *Core) let(op *Op) {
-	if op.alive--; op.alive > 0 {
+// releaseOp releases a part of an op. The front's reference keeps the op until the front has answered.
+func (c *Core) releaseOp(op *Op) {
+	if op.unreleased--; op.unreleased > 0 {
 		return
 	}
 	if op.fill == nil {
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -47,61 +47,61 @@
 	return cfg
 }
 
-// world holds a core against what any back and clients may do, and checks what must always be true.
-type world struct {
+// harness drives a core with arbitrary events of the back and of clients, and checks the invariants.
+type harness struct {
 	*rapid.T
-	c     *Core
-	now   logic.Micros
-	live  map[*Op]*client  // taken, neither answered nor gone
-	out   []*block.Attempt // started and not ended
-	drops map[*block.Attempt]bool
-	bytes int64 // of buffers held
+	c           *Core
+	now         logic.Micros
+	live        map[*Op]*client  // taken, neither answered nor abandoned
+	outstanding []*block.Attempt // started and not ended
+	dropped     map[*block.Attempt]bool
+	bufferBytes int64 // size of the buffers that are held
 }
 
 type client struct {
-	due     logic.Micros
-	repeat  logic.Repeat
-	mayHave bool            // an attempt of it may have run
-	pieces  map[*piece]bool // the same for each of its parts
+	deadline   logic.Micros
+	repeat     logic.Repeat
+	mayHaveRun bool            // an attempt of it may have run
+	pieces     map[*piece]bool // mayHaveRun of each piece
 }
 
-func (w *world) Done(op *Op)               {}
-func (w *world) Sending(*Op, logic.NodeID) {}
+func (w *harness) Done(op *Op)               {}
+func (w *harness) Sending(*Op, logic.NodeID) {}
 
-func (w *world) step() {
+func (w *harness) step() {
 	for {
 		for _, a := range w.c.Step(w.now) {
 			switch a.Kind {
 			case Start:
-				w.out = append(w.out, a.Attempt)
-				p := a.Attempt.Owner.(*attempt).p
+				w.outstanding = append(w.outstanding, a.Attempt)
+				p := a.Attempt.Owner.(*attempt).piece
 				op := p.op
-				if cl := w.live[op]; cl == nil && !op.gone {
-					w.Fatalf("a request that is over is sent again")
+				if cl := w.live[op]; cl == nil && !op.clientGone {
+					w.Fatalf("a request that has ended is sent again")
 				} else if cl != nil && cl.repeat == logic.Fragile && cl.pieces[p] {
 					w.Fatalf("an unsafe request that may have run is sent again")
 				}
-				if op.gone {
+				if op.clientGone {
 					w.Fatalf("a request whose client is gone is sent again")
 				}
 			case Drop:
-				w.drops[a.Attempt] = true
+				w.dropped[a.Attempt] = true
 			case Finish:
 				cl := w.live[a.Op]
 				if cl == nil {
 					w.Fatalf("an answer to a request that has one or whose client is gone")
 				}
-				if w.now > cl.due {
-					w.Fatalf("answered %d µs after its deadline", w.now-cl.due)
+				if w.now > cl.deadline {
+					w.Fatalf("answered %d µs after its deadline", w.now-cl.deadline)
 				}
-				if a.Op.Verdict == block.Refused && cl.mayHave && cl.repeat != logic.Retryable {
+				if a.Op.Verdict == block.Refused && cl.mayHaveRun && cl.repeat != logic.Retryable {
 					w.Fatalf("refused, which promises that a retry is harmless, but it may have run")
 				}
 				if a.Op.Verdict == block.Served && a.Op.Kind == block.Read {
 					n := int64(0)
 					a.Op.Each(func(at int64, b []byte) {
 						if at != n {
-							w.Fatalf("a hole in what was read, at %d", n)
+							w.Fatalf("a gap in the data read, at %d", n)
 						}
 						n += int64(len(b))
 					})
@@ -119,8 +119,8 @@
 	}
 }
 
-// pass lets time go by without missing a time that the core asks for.
-func (w *world) pass(d logic.Micros) {
+// advance moves the time forward and calls Step at each time that the core asks for.
+func (w *harness) advance(d logic.Micros) {
 	for end := w.now + d; w.now < end; {
 		next := w.c.Next()
 		if next == 0 || next > end {
@@ -131,8 +131,9 @@
 	}
 }
 
-// Under any order of requests, ends of every kind, silence, leaving clients and passing time: one answer in time to each
-// request, none sent after it, nothing unsafe sent twice, and in the end nothing is left, not even a byte.
+// TestCore runs random sequences of requests, attempt ends of every kind, silence, leaving clients and passing time.
+// Each request must get one answer within its deadline and no attempt after it; an unsafe request must not be sent
+// twice; and in the end no request, attempt, timer or buffer may be left.
 func TestCore(t *testing.T) {
 	cfg := config(t, t.TempDir())
 	rapid.Check(t, func(t *rapid.T) {
@@ -140,16 +141,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &world{T: t, c: core, now: 1_000_000, live: map[*Op]*client{}, drops: map[*block.Attempt]bool{}}
+		w := &harness{T: t, c: core, now: 1_000_000, live: map[*Op]*client{}, dropped: map[*block.Attempt]bool{}}
 		core.Nodes(w.now, []logic.Node{{ID: 1, Cell: 0, State: logic.Ready}, {ID: 2, Cell: 1, State: logic.Ready}})
 		w.step()
 		end := func(i int, o logic.Outcome) {
-			a := w.out[i]
-			w.out = append(w.out[:i], w.out[i+1:]...)
+			a := w.outstanding[i]
+			w.outstanding = append(w.outstanding[:i], w.outstanding[i+1:]...)
 			x := a.Owner.(*attempt)
 			if x.drive.Pending() && o != logic.Full && o != logic.Moot && o != logic.ConnectFailed {
-				if cl := w.live[x.p.op]; cl != nil {
-					cl.mayHave, cl.pieces[x.p] = true, true
+				if cl := w.live[x.piece.op]; cl != nil {
+					cl.mayHaveRun, cl.pieces[x.piece] = true, true
 				}
 			}
 			core.Ended(w.now, a, block.Result{Outcome: o, Load: logic.NoLoad})
@@ -167,21 +168,21 @@
 					op.Offset = int64(rapid.IntRange(0, int(size-op.Len)/512).Draw(t, "at")) * 512
 				}
 				if op.Kind == block.Read || op.Kind == block.Write {
-					w.bytes += op.Len
+					w.bufferBytes += op.Len
 					n := op.Len
-					op.Buffer = block.NewBuffer(n, func(int64) { w.bytes -= n })
+					op.Buffer = block.NewBuffer(n, func(int64) { w.bufferBytes -= n })
 				}
 				class, _ := cfg.Volumes[op.Volume].Class(op.Kind, op.Len)
 				cl := &cfg.Logic.Classes[class]
-				w.live[op] = &client{due: w.now + cl.Deadline, repeat: cl.Repeat, pieces: map[*piece]bool{}}
+				w.live[op] = &client{deadline: w.now + cl.Deadline, repeat: cl.Repeat, pieces: map[*piece]bool{}}
 				core.Take(w.now, op)
 				w.step()
-			case k < 7 && len(w.out) > 0:
+			case k < 7 && len(w.outstanding) > 0:
 				o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.OK, logic.OK, logic.Failed, logic.Full, logic.Reset, logic.Moot,
 					logic.ConnectFailed, logic.Cancelled}).Draw(t, "outcome")
-				end(rapid.IntRange(0, len(w.out)-1).Draw(t, "which"), o)
+				end(rapid.IntRange(0, len(w.outstanding)-1).Draw(t, "which"), o)
 			case k < 8 && len(w.live) > 0:
-				for op := range w.live { // any of them
+				for op := range w.live { // an arbitrary one
 					delete(w.live, op)
 					core.Gone(w.now, op)
 					op.Release()
@@ -189,38 +190,38 @@
 				}
 				w.step()
 			default:
-				w.pass(logic.Micros(rapid.IntRange(1, 120_000).Draw(t, "pass")))
+				w.advance(logic.Micros(rapid.IntRange(1, 120_000).Draw(t, "pass")))
 			}
 		}
-		// Silence: every request has its answer by its deadline.
-		w.pass(1_000_000)
+		// Without further attempt ends, every request must be answered by its deadline.
+		w.advance(1_000_000)
 		if len(w.live) > 0 {
 			t.Fatalf("%d requests were never answered", len(w.live))
 		}
-		for _, a := range w.out {
-			if !w.drops[a] {
-				t.Fatalf("an attempt of a request that is over was not dropped")
+		for _, a := range w.outstanding {
+			if !w.dropped[a] {
+				t.Fatalf("an attempt of a request that has ended was not dropped")
 			}
 		}
-		for len(w.out) > 0 {
+		for len(w.outstanding) > 0 {
 			end(0, logic.Reset)
 		}
-		w.pass(1_000_000)
+		w.advance(1_000_000)
 		tally := core.Tally()
 		due, _ := core.host.Pending()
-		if tally.Ops != 0 || tally.Pieces != 0 || tally.Out != 0 || tally.Attempts != 0 || w.bytes != 0 || due != 0 {
-			t.Fatalf("left behind: %+v, %d bytes, %d timers", tally, w.bytes, due)
+		if tally.Ops != 0 || tally.Pieces != 0 || tally.Out != 0 || tally.Attempts != 0 || w.bufferBytes != 0 || due != 0 {
+			t.Fatalf("not released: %+v, %d bytes, %d timers", tally, w.bufferBytes, due)
 		}
-		for i := range core.vols {
-			if l, h, r := core.vols[i].orders[0].Len(); l+h+r != 0 {
-				t.Fatalf("volume %d keeps %d live, %d held and %d resting changes", i, l, h, r)
+		for i := range core.volumes {
+			if l, h, r := core.volumes[i].orders[0].Len(); l+h+r != 0 {
+				t.Fatalf("volume %d still has %d live, %d held and %d resting changes", i, l, h, r)
 			}
 		}
 	})
 }
 
-// A request taken up after a restart that finds no node: one that may have run before is refused only where a retry does
-// no harm.
+// TestRanBefore checks a request that is resumed after a restart and finds no node: one that may have run before must
+// be refused only where a retry is harmless.
 func TestRanBefore(t *testing.T) {
 	cfg := config(t, t.TempDir())
 	for _, c := range []struct {
@@ -233,7 +234,7 @@
 			t.Fatal(err)
 		}
 		op := NewOp()
-		op.Kind, op.Len, op.Ran, op.Front = c.kind, 512, c.ran, nobody{}
+		op.Kind, op.Len, op.Ran, op.Front = c.kind, 512, c.ran, discardFront{}
 		core.Take(1_000_000, op)
 		answered := false
 		for _, a := range core.Step(1_000_000) {
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -10,25 +10,25 @@
 	"appleplank/logic"
 )
 
-// Reason says why bytes crossed, or that they did not.
+// Reason is the reason why bytes crossed to another zone, or that they did not.
 type Reason uint8
 
 const (
 	AtHome     Reason = iota // the node is in this gateway's zone
-	NoCopyHere               // a first attempt at data that lies elsewhere alone
-	Again                    // a further attempt
-	TooLate                  // an attempt whose end nobody waited for any more
-	Spill                    // a read that a copy at home would have answered too late
-	Copied                   // a change on its way to one of several copies
-	Moved                    // catching up a copy
-	Withheld                 // not sent: what the budget has refused, by what it would have cost
+	NoCopyHere               // a first attempt at data of which no copy lies in this zone
+	Again                    // a retry
+	TooLate                  // an attempt that ended after it had been given up
+	Spill                    // a read that a copy in this zone would have answered too late
+	Copied                   // a change sent to one of several copies
+	Moved                    // catching up a stale copy
+	Withheld                 // not sent because the budget refused it; counted by its estimated bytes
 )
 
 func (r Reason) String() string {
 	return [...]string{"at home", "no copy here", "repeat", "ended too late", "spill", "copy", "move", "withheld"}[r]
 }
 
-// ledgerKey is what is counted apart.
+// ledgerKey identifies a row of the ledger.
 type ledgerKey struct {
 	volume uint64
 	class  int
@@ -36,7 +36,7 @@
 	reason Reason
 }
 
-// Crossed is a row of the ledger: bytes on the connections, headers included.
+// Crossed is a row of the ledger. It counts bytes on the connections, headers included.
 type Crossed struct {
 	Volume   uint64
 	Class    int
@@ -46,50 +46,52 @@
 	Out, In  int64
 }
 
-// overhead is about what headers add to a request's data; the true sum is settled when an attempt ends.
-const overhead = 160
+// headerOverhead estimates the bytes that headers add to a request's data. The exact number is settled when an attempt
+// ends.
+const headerOverhead = 160
 
-func (c *Core) foreign(zone int) bool { return crossing.Foreign(c.cfg.Logic.Zone, zone) }
+func (c *Core) isForeign(zone int) bool { return crossing.Foreign(c.cfg.Logic.Zone, zone) }
 
-// mayCross asks the budget for a piece whose data lies in no node of this gateway's zone; wait is when to come back.
-func (c *Core) mayCross(now logic.Micros, p *piece) (wait logic.Micros, ok bool) {
+// requestCrossing requests budget for a piece whose data has no node in this gateway's zone. If that fails, wait is the
+// delay before the next try.
+func (c *Core) requestCrossing(now logic.Micros, p *piece) (wait logic.Micros, ok bool) {
 	if p.object != nil && p.object.Home {
 		return 0, true
 	}
-	p.asked, wait, ok = c.ask(now, p.op.Class, p.cell(), dataBytes(p.op.Kind, p.len))
+	p.budgetBytes, wait, ok = c.requestBudget(now, p.op.Class, p.cell(), dataBytes(p.op.Kind, p.len))
 	if !ok {
-		c.withheld(p.vol, p.op, p.cell(), p.len)
+		c.recordWithheld(p.volume, p.op, p.cell(), p.len)
 	}
 	return wait, ok
 }
 
-// withheld counts what was not sent for the budget.
-func (c *Core) withheld(v *volume, op *Op, cell int, n int64) {
-	row := c.row(ledgerKey{v.ID, op.Class, c.zoneOf(cell), Withheld})
+// recordWithheld counts a request that was not sent because the budget refused it.
+func (c *Core) recordWithheld(v *volume, op *Op, cell int, n int64) {
+	row := c.ledgerRow(ledgerKey{v.ID, op.Class, c.cellZone(cell), Withheld})
 	row.Attempts++
-	row.Out += dataBytes(op.Kind, n) + overhead
+	row.Out += dataBytes(op.Kind, n) + headerOverhead
 }
 
-// zone is that of a node, as it was last told.
-func (c *Core) zone(n *settings.Node) int {
+// nodeZone returns the zone of a node as last reported, or else as configured.
+func (c *Core) nodeZone(n *settings.Node) int {
 	if x, listed := c.nodes[n.ID]; listed {
 		return x.Zone
 	}
 	return n.Zone
 }
 
-// zoneOf is the zone of a cell's node.
-func (c *Core) zoneOf(cell int) int {
+// cellZone returns the zone of the cell's first node, or -1 if it has none.
+func (c *Core) cellZone(cell int) int {
 	for i := range c.cfg.Nodes {
 		if n := &c.cfg.Nodes[i]; n.Cell == cell {
-			return c.zone(n)
+			return c.nodeZone(n)
 		}
 	}
 	return -1
 }
 
-// row is a row of the ledger.
-func (c *Core) row(k ledgerKey) *Crossed {
+// ledgerRow returns the row of the ledger for a key, and adds it if there is none.
+func (c *Core) ledgerRow(k ledgerKey) *Crossed {
 	row := c.ledger[k]
 	if row == nil {
 		row = &Crossed{Volume: k.volume, Class: k.class, Zone: k.zone, Reason: k.reason}
@@ -98,7 +100,7 @@
 	return row
 }
 
-// dataBytes is what a request's data comes to on a connection.
+// dataBytes returns the number of data bytes that a request transfers on a connection.
 func dataBytes(k block.Kind, n int64) int64 {
 	if k == block.Read || k == block.Write {
 		return n
@@ -106,42 +108,43 @@
 	return 0
 }
 
-// ask asks the budget for a request of a class to a cell, with so much data. Asked is 0 where nothing crosses.
-func (c *Core) ask(now logic.Micros, class, cell int, data int64) (asked float64, wait logic.Micros, ok bool) {
-	if c.cfg.Crossing.Rate <= 0 || c.cfg.Logic.Zone < 0 || c.home[cell] || len(c.nodes) == 0 {
+// requestBudget requests budget for a request of a class to a cell with the given number of data bytes. Asked is 0
+// where nothing crosses zones.
+func (c *Core) requestBudget(now logic.Micros, class, cell int, data int64) (asked float64, wait logic.Micros, ok bool) {
+	if c.cfg.Crossing.Rate <= 0 || c.cfg.Logic.Zone < 0 || c.localCells[cell] || len(c.nodes) == 0 {
 		return 0, 0, true
 	}
-	asked = float64(data + overhead)
+	asked = float64(data + headerOverhead)
 	if ok, wait = c.budget.Ask(now, class, asked); !ok {
 		return 0, wait, false
 	}
 	return asked, 0, true
 }
 
-// reason says why a piece's next attempt is made, if it crosses.
-func (c *Core) reason(p *piece) Reason {
+// attemptReason returns the reason that the next attempt of a piece is counted under if it crosses zones.
+func (c *Core) attemptReason(p *piece) Reason {
 	switch {
 	case p.op.fill != nil:
 		return Moved
-	case p.tries > 0:
+	case p.attempts > 0:
 		return Again
 	case p.change != nil:
 		return Copied
-	case p.way.Spills:
+	case p.route.Spills:
 		return Spill
 	}
 	return NoCopyHere
 }
 
-// crossed settles an attempt's bytes with budget and ledger. A zone that is not known is a foreign one.
-func (c *Core) crossed(now logic.Micros, a *attempt, r block.Result) {
+// settleTransfer settles an attempt's bytes with the budget and the ledger. An unknown zone counts as a foreign one.
+func (c *Core) settleTransfer(now logic.Micros, a *attempt, r block.Result) {
 	n, known := c.nodes[a.Node]
 	k := ledgerKey{c.cfg.Volumes[a.volume].ID, a.class, n.Zone, AtHome}
 	if !known {
 		n.Zone = -1
 	}
-	if c.foreign(n.Zone) {
-		switch bytes := float64(r.Out+r.In) - a.asked; {
+	if c.isForeign(n.Zone) {
+		switch bytes := float64(r.Out+r.In) - a.budgetBytes; {
 		case bytes >= 0:
 			c.budget.Spent(now, bytes)
 		default:
@@ -152,24 +155,25 @@
 			k.reason = TooLate
 		}
 	}
-	row := c.row(k)
+	row := c.ledgerRow(k)
 	row.Attempts++
 	row.Out += r.Out
 	row.In += r.In
 }
 
-// zones takes news of the nodes: which cells are at home, and which zones have lost how many.
-func (c *Core) zones(now logic.Micros, news []logic.Node) {
+// updateNodes processes changes of the node list. It determines which cells are local and ready, and reports the number
+// of ready nodes per zone to the budget.
+func (c *Core) updateNodes(now logic.Micros, news []logic.Node) {
 	for _, n := range news {
 		c.nodes[n.ID] = n
 	}
-	clear(c.home)
-	clear(c.ready)
+	clear(c.localCells)
+	clear(c.readyCells)
 	var zones []crossing.Zone
 	for k := range c.cfg.Nodes {
 		known := &c.cfg.Nodes[k]
 		n, listed := c.nodes[known.ID]
-		zone := c.zone(known)
+		zone := c.nodeZone(known)
 		i := slices.IndexFunc(zones, func(z crossing.Zone) bool { return z.ID == zone })
 		if i < 0 {
 			i = len(zones)
@@ -178,15 +182,15 @@
 		zones[i].Nodes++
 		if listed && n.State == logic.Ready {
 			zones[i].Ready++
-			c.ready[n.Cell] = true
-			c.home[n.Cell] = c.home[n.Cell] || !c.foreign(n.Zone)
+			c.readyCells[n.Cell] = true
+			c.localCells[n.Cell] = c.localCells[n.Cell] || !c.isForeign(n.Zone)
 		}
 	}
 	c.budget.Zones(now, zones)
-	c.lookAgain() // a copy may be in reach again
+	c.recheckMirrors() // a copy may have become reachable
 }
 
-// Crossing copies the ledger, in a fixed order, and what is left of the budget.
+// Crossing returns a copy of the ledger, sorted, and the state of the budget.
 func (c *Core) Crossing(now logic.Micros) (rows []Crossed, m crossing.Memory) {
 	for _, r := range c.ledger {
 		rows = append(rows, *r)
@@ -197,8 +201,8 @@
 	return rows, c.budget.Memory(now)
 }
 
-// RememberCrossing takes up what an earlier process has counted, and what it had left, so long ago; nothing is at hand
-// where that is not known.
+// RememberCrossing restores the ledger and the crossing budget of an earlier process. Age is the time since they were
+// saved, 0 if unknown: then the budget has gained nothing since. The budget starts empty if m is nil.
 func (c *Core) RememberCrossing(rows []Crossed, m *crossing.Memory, age logic.Micros) error {
 	for _, r := range rows {
 		row := r
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Engine gives a [Core] real time and sockets, by a [drive.Loop]: a request passes from ring to socket without
-// waiting for another goroutine.
+// Engine runs a [Core] in real time by means of a [drive.Loop]: a request passes from ring to socket without waiting
+// for another goroutine.
 type Engine struct {
 	core  *Core
 	back  block.Back
@@ -23,16 +23,16 @@
 	log   *zap.Logger
 	epoch time.Time
 
-	loop *drive.Loop[input]
-	left []*Op // given up by their fronts in the batch at hand
-	idle chan struct{}
-	cold bool // idle is to be closed when nothing is held
+	loop      *drive.Loop[input]
+	abandoned []*Op // abandoned by their fronts in the current batch
+	drained   chan struct{}
+	draining  bool // drained is closed as soon as no op is held
 }
 
-// Marks keeps what must outlast the process of mirrored extents. Neither method waits; marks of one region are carried
-// out in turn.
+// Marks stores the marks of mirrored extents, which must survive a restart. Its methods do not block. Operations on
+// marks of one region are carried out in order.
 type Marks interface {
-	// Keep brings a mark to stable storage and says through [Engine.Kept] how that went.
+	// Keep writes a mark to stable storage and reports the result through [Engine.Kept].
 	Keep(m Mark)
 	Forget(m Mark)
 }
@@ -40,16 +40,16 @@
 type inputKind uint8
 
 const (
-	taken inputKind = iota
-	gone
-	ended
-	nodes
-	kept
-	freed
+	requestTaken inputKind = iota
+	clientGone
+	attemptEnded
+	nodesChanged
+	markKept
+	spaceFreed
 )
 
-// input is something that happened. What is queued is bounded by what is out: an op is taken and gone once, an
-// attempt ends once, and the node list is short.
+// input is one event for the core. The queue is bounded by what is outstanding: an op is taken and abandoned at most
+// once, an attempt ends once, and the node list is short.
 type input struct {
 	kind    inputKind
 	op      *Op
@@ -62,82 +62,82 @@
 	at      int64
 }
 
-// clockStart is the engine's time at its start: above zero, as logic takes zero for never, and with room for nodes
-// that started before.
+// clockStart is the engine's time at its start. It is above zero, because logic takes zero for "never", and leaves room
+// for the start times of nodes that started earlier.
 const clockStart = time.Hour
 
-// New makes an engine; [Engine.SetBack] gives it the nodes before the first request.
+// New returns an engine. [Engine.SetBack] must be called before the first request.
 func New(cfg *settings.Config, seed, nonce uint64, log *zap.Logger) (*Engine, error) {
 	core, err := NewCore(cfg, seed, nonce)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{core: core, log: log, epoch: time.Now().Add(-clockStart), idle: make(chan struct{})}
+	e := &Engine{core: core, log: log, epoch: time.Now().Add(-clockStart), drained: make(chan struct{})}
 	e.loop = drive.NewLoop(e.Now, 0, e.step)
 	return e, nil
 }
 
-// SetBack tells the engine who carries attempts out.
+// SetBack sets the back, which carries out attempts.
 func (e *Engine) SetBack(b block.Back) { e.back = b }
 
-// SetMarks tells the engine who keeps the marks of mirrored extents, where there are any.
+// SetMarks sets the store for the marks of mirrored extents. It is not needed where there are no mirrored extents.
 func (e *Engine) SetMarks(m Marks) { e.marks = m }
 
-// Kept says how keeping a mark has gone.
-func (e *Engine) Kept(m Mark, ok bool) { e.loop.Post(input{kind: kept, mark: m, ok: ok}) }
+// Kept reports whether a mark has reached stable storage.
+func (e *Engine) Kept(m Mark, ok bool) { e.loop.Post(input{kind: markKept, mark: m, ok: ok}) }
 
-// RememberMark gives the engine a mark of an earlier process, before anything is brought.
+// RememberMark restores a mark of an earlier process. It must be called before any event.
 func (e *Engine) RememberMark(m Mark) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberMark(m) })
 	return err
 }
 
-// TakeSpace marks what an object lies on as used, before anything is brought.
+// TakeSpace marks the n bytes of an object at offset at as used. It must be called before any event.
 func (e *Engine) TakeSpace(volume int, at, n int64) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.TakeSpace(volume, at, n) })
 	return err
 }
 
-// FreeSpace gives an object's bytes back. Nobody may read them any more.
+// FreeSpace frees the space of the object at offset at. Nobody may read the object any more.
 func (e *Engine) FreeSpace(volume int, at int64) {
-	e.loop.Post(input{kind: freed, volume: volume, at: at})
+	e.loop.Post(input{kind: spaceFreed, volume: volume, at: at})
 }
 
-// Space tells the free and used bytes of a volume of objects.
+// Space returns the free and used bytes of a volume of objects.
 func (e *Engine) Space(volume int) (free, used int64) {
 	e.loop.WithLock(func(now logic.Micros) { free, used = e.core.Space(now, volume) })
 	return free, used
 }
 
-// Mirrors tells how the copies of mirrored extents are.
+// Mirrors returns the state of the copies of all mirrored extents.
 func (e *Engine) Mirrors() (m []Mirrored) {
 	e.loop.WithLock(func(logic.Micros) { m = e.core.Mirrors() })
 	return m
 }
 
-// Now is the engine's clock, which goes on while the machine's is set.
+// Now returns the time of the engine's clock, which is monotonic: setting the machine's clock does not affect it.
 func (e *Engine) Now() logic.Micros { return logic.Micros(time.Since(e.epoch).Microseconds()) }
 
-// Memory is what bounds a volume's buffers.
+// Memory returns the semaphore that bounds a volume's buffers.
 func (e *Engine) Memory(volume int) *semaphore.Weighted { return e.core.Memory(volume) }
 
-// Take hands a request over; its front hears of the answer exactly once.
-func (e *Engine) Take(op *Op) { e.loop.Post(input{kind: taken, op: op}) }
+// Take accepts a request. Its front receives the answer exactly once.
+func (e *Engine) Take(op *Op) { e.loop.Post(input{kind: requestTaken, op: op}) }
 
-// Gone says that the client of a request has left, and passes the front's hold on it to the engine. The front must
-// not have heard of an answer, and takes none from then on.
-func (e *Engine) Gone(op *Op) { e.loop.Post(input{kind: gone, op: op}) }
+// Gone reports that the client of a request has left, and transfers the front's reference to the engine. The front must
+// not have received an answer yet, and must ignore one that arrives later.
+func (e *Engine) Gone(op *Op) { e.loop.Post(input{kind: clientGone, op: op}) }
 
 // AttemptEnded implements [block.Sink].
 func (e *Engine) AttemptEnded(a *block.Attempt, r block.Result) {
-	e.loop.Post(input{kind: ended, attempt: a, result: r})
+	e.loop.Post(input{kind: attemptEnded, attempt: a, result: r})
 }
 
-// Nodes gives news of the nodes.
-func (e *Engine) Nodes(list []logic.Node) { e.loop.Post(input{kind: nodes, nodes: list}) }
+// Nodes reports changes of the node list.
+func (e *Engine) Nodes(list []logic.Node) { e.loop.Post(input{kind: nodesChanged, nodes: list}) }
 
-// Remember gives the engine what an earlier process has learned, before anything is brought. Rest is set where that
-// process may have left attempts at nodes.
+// Remember restores what an earlier process has learned, where m is not nil. It must be called before any event. Rest
+// is set where that process may have left attempts running at nodes.
 func (e *Engine) Remember(m *logic.Memory, rest bool) (err error) {
 	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
@@ -150,70 +150,72 @@
 	return err
 }
 
-// Crossing tells what crossed and what is left of the budget.
+// Crossing returns the ledger of the bytes that crossed zones and the state of the crossing budget.
 func (e *Engine) Crossing() (rows []Crossed, m crossing.Memory) {
 	e.loop.WithLock(func(now logic.Micros) { rows, m = e.core.Crossing(now) })
 	return rows, m
 }
 
-// RememberCrossing gives the engine what an earlier process has counted and left, before anything is brought.
+// RememberCrossing restores the ledger and the crossing budget of an earlier process. It must be called before any
+// event.
 func (e *Engine) RememberCrossing(rows []Crossed, m *crossing.Memory, age logic.Micros) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberCrossing(rows, m, age) })
 	return err
 }
 
-// Quiet tells whether nothing is held, and nothing that was sent may still run at a node.
+// Quiet reports whether nothing is held and nothing that was sent may still run at a node.
 func (e *Engine) Quiet() (quiet bool) {
 	e.loop.WithLock(func(logic.Micros) { quiet = e.core.Quiet() })
 	return quiet
 }
 
-// Learned copies what has been learned, and the time of it.
+// Learned returns a snapshot of what has been learned, and the time of the snapshot.
 func (e *Engine) Learned() (m logic.Memory, now logic.Micros) {
 	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Learned(at), at })
 	return m, now
 }
 
-// Tally tells the counts so far.
+// Tally returns the current counts.
 func (e *Engine) Tally() (t Tally) {
 	e.loop.WithLock(func(logic.Micros) { t = e.core.Tally() })
 	return t
 }
 
-// Drained waits until nothing is held any more, or ctx ends. Fronts must have stopped taking.
+// Drained waits until no op is held or ctx ends. Fronts must have stopped accepting requests. No copy is caught up from
+// then on.
 func (e *Engine) Drained(ctx context.Context) error {
 	e.loop.WithLock(func(logic.Micros) {
-		e.cold = true
+		e.draining = true
 		e.core.Still()
 	})
 	e.loop.ForceStep()
 	select {
-	case <-e.idle:
+	case <-e.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Close stops the timer. Nothing may be brought any more.
+// Close stops the timer. No event may be reported after it.
 func (e *Engine) Close() { e.loop.Close() }
 
-// step lets the core take what was brought, and carries out what it wants.
+// step passes the queued events to the core and carries out the resulting actions.
 func (e *Engine) step(now logic.Micros, in []input) logic.Micros {
 	for i := range in {
 		switch in := &in[i]; in.kind {
-		case taken:
+		case requestTaken:
 			e.core.Take(now, in.op)
-		case gone:
+		case clientGone:
 			e.core.Gone(now, in.op)
-			e.left = append(e.left, in.op)
-		case ended:
+			e.abandoned = append(e.abandoned, in.op)
+		case attemptEnded:
 			e.core.Ended(now, in.attempt, in.result)
-		case nodes:
+		case nodesChanged:
 			e.core.Nodes(now, in.nodes)
-		case freed:
+		case spaceFreed:
 			e.core.FreeSpace(now, in.volume, in.at)
-		case kept:
+		case markKept:
 			e.core.Kept(now, in.mark, in.ok)
 		}
 	}
@@ -236,15 +238,16 @@
 			e.marks.Forget(a.Mark)
 		}
 	}
-	// Only now: an answer may have been on its way to a front that had given its request up.
-	for i, op := range e.left {
+	// Released only now, because the actions above may have included an answer to a request that its front had
+	// abandoned.
+	for i, op := range e.abandoned {
 		op.Release()
-		e.left[i] = nil
+		e.abandoned[i] = nil
 	}
-	e.left = e.left[:0]
-	if e.cold && e.core.tally.Ops == 0 { // attempts without an answer that nobody waits for end with their connections
-		e.cold = false
-		close(e.idle)
+	e.abandoned = e.abandoned[:0]
+	if e.draining && e.core.tally.Ops == 0 { // attempts that nobody waits for end with their connections
+		e.draining = false
+		close(e.drained)
 	}
 	return e.core.Next()
 }
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -10,89 +10,89 @@
 	"appleplank/ranges"
 )
 
-// What follows carries out for mirrored extents what package copies decides: changes go to several copies as pieces of
-// their own, each in its copy's order; a read goes to one copy and, while there is time, to another; a copy that has
-// missed something is read from the lead and written anew, in the orders of both.
+// This file carries out the decisions of package copies for mirrored extents. A change goes to several copies as
+// separate pieces, each in the order of its copy. A read goes to one copy and, while there is time, to another one. A
+// copy that has missed a change is read from the lead and rewritten, in the order of changes of both copies.
 
-// mirror is a mirrored extent.
+// mirror is a mirrored extent and the state of its copies.
 type mirror struct {
 	*copies.Set
-	vol    *volume
-	extent int
-	x      *settings.Extent
-	next   logic.Micros // when to tend it; 0: when something happens
-	awake  bool         // in mirrors
+	volume      *volume
+	extentIndex int
+	extent      *settings.Extent
+	nextAt      logic.Micros // when it is due in advanceMirrors; 0: not before the next event
+	active      bool         // listed in mirrorState.active
 }
 
-// mirrors are those of which something is known but that all their copies are whole.
-type mirrors struct {
-	awake []*mirror
-	next  logic.Micros // when to tend them; 0: when something happens
-	fills int
-	still bool // nothing is caught up any more
+// mirrorState lists the active mirrors, which are those with changes in progress or with copies that are not whole.
+type mirrorState struct {
+	active       []*mirror
+	nextAt       logic.Micros // earliest nextAt of active; 0: not before the next event
+	activeFills  int
+	fillsStopped bool // no further fills are started
 }
 
-// change is a change of bytes of one mirrored extent.
+// change is a change of a byte range in one mirrored extent.
 type change struct {
 	copies.Change
-	mirror    *mirror
-	op        *Op
-	from, len int64 // byte of the op
-	part      int
-	asked     [copies.Most]float64 // of the crossing budget
-	wait      logic.Micros         // advice of those who refused a part of it
+	mirror        *mirror
+	op            *Op
+	opOffset, len int64 // offset in the op, in bytes
+	partNumber    int
+	budgetBytes   [copies.Most]float64 // bytes of the crossing budget reserved, per copy
+	coolDown      logic.Micros         // longest cool-down advised by a refusal of one of its pieces
 }
 
-// fillVolume sets the queues apart from which copies are caught up.
-const fillVolume = logic.VolumeID(1) << 63
+// fillVolumeBit is set in the volume IDs of the separate queues of fills.
+const fillVolumeBit = logic.VolumeID(1) << 63
 
-// reach tells whether a cell's node takes work and, as far as is known, connections.
-func (c *Core) reach(cell int) bool { return c.ready[cell] && !c.host.Down(cell) }
+// reachable reports whether a cell's node accepts work and, as far as is known, connections.
+func (c *Core) reachable(cell int) bool { return c.readyCells[cell] && !c.host.Down(cell) }
 
-// begin takes a change of a mirrored extent. What may not cross to a copy is not sent there, as long as enough others
-// can hold it: the copy is caught up when there is room.
-func (c *Core) begin(now logic.Micros, op *Op, m *mirror, at, n int64, by logic.Micros, part int) {
+// beginChange starts a change of a mirrored extent. Where the crossing budget does not allow sending it to a copy, it
+// is not sent there as long as enough other copies can hold it. The copy is caught up when the budget allows it.
+func (c *Core) beginChange(now logic.Micros, op *Op, m *mirror, at, n int64, deadline logic.Micros, partNumber int) {
 	class := &c.cfg.Logic.Classes[op.Class]
-	ch := &change{mirror: m, op: op, from: at - op.Offset, len: n, part: part}
-	ch.From, ch.To, ch.Owner = at-m.x.Start, at-m.x.Start+n, ch
-	ch.Aim, ch.By, ch.Harmless = class.Aim, by, class.Repeat == logic.Retryable
+	ch := &change{mirror: m, op: op, opOffset: at - op.Offset, len: n, partNumber: partNumber}
+	ch.From, ch.To, ch.Owner = at-m.extent.Start, at-m.extent.Start+n, ch
+	ch.Aim, ch.By, ch.Harmless = class.Aim, deadline, class.Repeat == logic.Retryable
 	ready, need := copies.Mask(0), m.Need(ch.From, ch.To)
-	for i, p := range m.x.Copies {
-		if !c.reach(p.Cell) {
+	for i, p := range m.extent.Copies {
+		if !c.reachable(p.Cell) {
 			continue
 		}
 		if need.Has(i) {
-			asked, wait, ok := c.ask(now, op.Class, p.Cell, dataBytes(op.Kind, n))
+			asked, wait, ok := c.requestBudget(now, op.Class, p.Cell, dataBytes(op.Kind, n))
 			if !ok {
-				c.withheld(m.vol, op, p.Cell, n)
-				ch.wait = max(ch.wait, wait)
+				c.recordWithheld(m.volume, op, p.Cell, n)
+				ch.coolDown = max(ch.coolDown, wait)
 				continue
 			}
-			ch.asked[i] = asked
+			ch.budgetBytes[i] = asked
 		}
 		ready |= copies.Of(i)
 	}
 	op.changes = append(op.changes, ch)
-	op.left++
-	op.alive++
+	op.unanswered++
+	op.unreleased++
 	m.Begin(now, &ch.Change, ready)
-	c.carry(now, m)
+	c.applyMirrorActions(now, m)
 }
 
-// carry carries out what a set wants.
-func (c *Core) carry(now logic.Micros, m *mirror) {
-	if !m.awake {
-		m.awake = true
-		c.mirrors.awake = append(c.mirrors.awake, m)
+// applyMirrorActions carries out the actions of a mirror's set.
+func (c *Core) applyMirrorActions(now logic.Micros, m *mirror) {
+	if !m.active {
+		m.active = true
+		c.mirrors.active = append(c.mirrors.active, m)
 	}
-	m.next, c.mirrors.next = 1, 1 // its time may have changed
+	m.nextAt, c.mirrors.nextAt = 1, 1 // the mirror's due time may have changed
 	for out := m.Out(); len(out) > 0; out = m.Out() {
 		for _, o := range out {
 			switch o.Kind {
 			case copies.Keep:
-				c.out = append(c.out, Action{Kind: Keep, Mark: Mark{Volume: m.vol.index, Extent: m.extent, Mark: o.Mark}})
+				c.actions = append(c.actions, Action{Kind: Keep, Mark: Mark{Volume: m.volume.index, Extent: m.extentIndex, Mark: o.Mark}})
 			case copies.Forget:
-				c.out = append(c.out, Action{Kind: Forget, Mark: Mark{Volume: m.vol.index, Extent: m.extent, Mark: o.Mark}})
+				c.actions = append(c.actions, Action{Kind: Forget, Mark: Mark{Volume: m.volume.index, Extent: m.extentIndex, Mark: o.Mark}})
 			case copies.Send:
 				c.sendChange(o.Change.Owner.(*change))
 			case copies.Answer:
@@ -102,276 +102,278 @@
 	}
 }
 
-// sendChange makes the pieces of a change, one for each copy that it goes to.
+// sendChange creates the pieces of a change, one for each copy that it goes to.
 func (c *Core) sendChange(ch *change) {
-	for i := range ch.mirror.x.Copies {
+	for i := range ch.mirror.extent.Copies {
 		if !ch.Sent.Has(i) {
 			continue
 		}
-		p := c.newPiece(ch.op, ch.mirror.vol, ch.mirror.x, i, ch.from, ch.len, ch.By)
-		ch.op.left-- // the change has one answer
-		p.change, p.number, p.asked, ch.asked[i] = ch, ch.part|i<<16, ch.asked[i], 0
-		c.launch(p)
+		p := c.newPiece(ch.op, ch.mirror.volume, ch.mirror.extent, i, ch.opOffset, ch.len, ch.By)
+		ch.op.unanswered-- // the change as a whole has one answer
+		p.change, p.keyNumber, p.budgetBytes, ch.budgetBytes[i] = ch, ch.partNumber|i<<16, ch.budgetBytes[i], 0
+		c.dispatch(p)
 	}
 }
 
-// copyEnded tells how a change has ended at a copy.
+// copyEnded records how a change has ended at one copy.
 func (c *Core) copyEnded(now logic.Micros, p *piece, held bool, coolDown logic.Micros) {
 	ch := p.change
-	ch.wait = max(ch.wait, coolDown)
-	ch.mirror.Ended(now, &ch.Change, p.copy, held, p.ran)
-	c.carry(now, ch.mirror)
-	c.letChange(ch)
+	ch.coolDown = max(ch.coolDown, coolDown)
+	ch.mirror.Ended(now, &ch.Change, p.copyIndex, held, p.mayHaveRun)
+	c.applyMirrorActions(now, ch.mirror)
+	c.releaseChange(ch)
 }
 
-// answerChange takes the answer of a change.
+// answerChange merges the answer of a change into that of its op.
 func (c *Core) answerChange(now logic.Micros, ch *change) {
-	for i, asked := range ch.asked { // what was never sent
+	for i, asked := range ch.budgetBytes { // budget of pieces that were never sent
 		if asked > 0 {
 			c.budget.Back(now, asked)
-			ch.asked[i] = 0
+			ch.budgetBytes[i] = 0
 		}
 	}
-	how := [...]ranges.Answer{copies.Served: ranges.Served, copies.Refused: ranges.Refused, copies.Failed: ranges.Failed}[ch.Verdict]
-	wait := ch.wait
+	answer := [...]ranges.Answer{copies.Served: ranges.Served, copies.Refused: ranges.Refused, copies.Failed: ranges.Failed}[ch.Verdict]
+	wait := ch.coolDown
 	if wait == 0 && c.cfg.Logic.CoolDowns {
 		wait = min(ch.Wait, c.cfg.Logic.MaxCoolDown)
 	}
-	c.join(ch.op, how, wait)
-	c.settled(now, ch.op)
-	c.letChange(ch)
+	c.mergeAnswer(ch.op, answer, wait)
+	c.partAnswered(now, ch.op)
+	c.releaseChange(ch)
 }
 
-// letChange lets go of a change once it is answered and over at each copy.
-func (c *Core) letChange(ch *change) {
+// releaseChange releases a change once it is answered and has ended at each copy.
+func (c *Core) releaseChange(ch *change) {
 	if ch.op != nil && ch.Done() {
 		op := ch.op
 		ch.op = nil
-		c.let(op)
+		c.releaseOp(op)
 	}
 }
 
-// ---- reads ----
+// ---- Reads ----
 
-// read takes a read of a mirrored extent, in as many pieces as it takes to read each from a copy that is whole there.
-func (c *Core) read(now logic.Micros, op *Op, m *mirror, at, n int64, by logic.Micros) {
+// beginRead starts a read of a mirrored extent. It creates as many pieces as are needed to read each one from a copy
+// that is whole in its range.
+func (c *Core) beginRead(now logic.Micros, op *Op, m *mirror, at, n int64, deadline logic.Micros) {
 	for end := at + n; at < end; {
-		mask, to := m.Readable(at-m.x.Start, end-m.x.Start)
-		to += m.x.Start
-		p := c.newPiece(op, m.vol, m.x, 0, at-op.Offset, to-at, by)
-		p.set, p.way = m, copies.Read{Aim: c.cfg.Logic.Classes[op.Class].Aim, By: by, Most: c.cfg.Logic.MaxAttempts}
-		seen := c.seen(p)
-		wait, ok := p.way.First(mask, seen[:len(m.x.Copies)], c.asking(now, p))
-		if c.go_(p); ok {
-			c.launch(p)
+		mask, to := m.Readable(at-m.extent.Start, end-m.extent.Start)
+		to += m.extent.Start
+		p := c.newPiece(op, m.volume, m.extent, 0, at-op.Offset, to-at, deadline)
+		p.mirror, p.route = m, copies.Read{Aim: c.cfg.Logic.Classes[op.Class].Aim, By: deadline, Most: c.cfg.Logic.MaxAttempts}
+		seen := c.copyStates(p)
+		wait, ok := p.route.First(mask, seen[:len(m.extent.Copies)], c.budgetRequester(now, p))
+		if c.routeToCopy(p); ok {
+			c.dispatch(p)
 		} else {
-			c.withheld(m.vol, op, p.place.Cell, p.len)
-			c.answer(now, p, ranges.Refused, wait)
+			c.recordWithheld(m.volume, op, p.place.Cell, p.len)
+			c.answerPiece(now, p, ranges.Refused, wait)
 		}
 		at = to
 	}
 }
 
-// go_ points a read at the copy that it goes to.
-func (c *Core) go_(p *piece) { p.copy, p.place = p.way.At, &p.extent.Copies[p.way.At] }
+// routeToCopy directs a read to the copy that its route has chosen.
+func (c *Core) routeToCopy(p *piece) { p.copyIndex, p.place = p.route.At, &p.extent.Copies[p.route.At] }
 
-// seen is what is known of the copies that a read may go to.
-func (c *Core) seen(p *piece) (seen [copies.Most]copies.Seen) {
+// copyStates returns what is known of the copies that a read may go to.
+func (c *Core) copyStates(p *piece) (seen [copies.Most]copies.Seen) {
 	for i, x := range p.extent.Copies {
-		seen[i] = copies.Seen{Home: c.home[x.Cell], Ready: c.reach(x.Cell), Takes: c.host.Outlook(x.Cell, p.units)}
+		seen[i] = copies.Seen{Home: c.localCells[x.Cell], Ready: c.reachable(x.Cell), Takes: c.host.Outlook(x.Cell, p.units)}
 	}
 	return seen
 }
 
-// asking asks the crossing budget for a read.
-func (c *Core) asking(now logic.Micros, p *piece) copies.Ask {
+// budgetRequester returns a function that requests crossing budget for a read of a copy.
+func (c *Core) budgetRequester(now logic.Micros, p *piece) copies.Ask {
 	return func(copy int) (wait logic.Micros, ok bool) {
-		asked, wait, ok := c.ask(now, p.op.Class, p.extent.Copies[copy].Cell, p.len)
-		p.asked += asked
+		asked, wait, ok := c.requestBudget(now, p.op.Class, p.extent.Copies[copy].Cell, p.len)
+		p.budgetBytes += asked
 		return wait, ok
 	}
 }
 
-// elsewhere lets a read that was not served where it went go on, as the same request: its attempts so far count.
-func (c *Core) elsewhere(now logic.Micros, p *piece) bool {
-	if p.set == nil || p.op.gone || p.out > 0 || c.pieces[p.id] != p {
+// retryElsewhere retries a read that was not served at another copy and reports whether it did. It is still the same
+// client request: the attempts so far count towards its maximum.
+func (c *Core) retryElsewhere(now logic.Micros, p *piece) bool {
+	if p.mirror == nil || p.op.clientGone || p.outstanding > 0 || c.pieces[p.id] != p {
 		return false
 	}
-	from := p.op.Offset + p.from - p.extent.Start
-	mask, end := p.set.Readable(from, from+p.len)
-	seen := c.seen(p)
-	if end < from+p.len || !p.way.Again(now, mask, seen[:len(p.extent.Copies)], p.tries, c.asking(now, p)) {
+	from := p.op.Offset + p.opOffset - p.extent.Start
+	mask, end := p.mirror.Readable(from, from+p.len)
+	seen := c.copyStates(p)
+	if end < from+p.len || !p.route.Again(now, mask, seen[:len(p.extent.Copies)], p.attempts, c.budgetRequester(now, p)) {
 		return false
 	}
-	c.go_(p)
+	c.routeToCopy(p)
 	delete(c.pieces, p.id)
 	c.lastID++
-	p.id, p.before = logic.RequestID(c.lastID), p.tries
+	p.id, p.earlierAttempts = logic.RequestID(c.lastID), p.attempts
 	c.pieces[p.id] = p
 	c.tally.Elsewhere++
-	c.arrive(p, 0)
+	c.submit(p, 0)
 	return true
 }
 
-// ---- catching up ----
+// ---- Catching up ----
 
-// fill is a run of bytes on its way from the lead to a copy that has missed something.
+// fill is the copying of a byte range from the lead to a copy that has missed a change.
 type fill struct {
 	copies.Fill
 	mirror      *mirror
 	read, write *piece
 }
 
-// tend lets time pass for the mirrors whose time has come, and begins to catch up what can be.
-func (c *Core) tend(now logic.Micros) {
+// advanceMirrors processes the mirrors that are due, and starts the fills that are possible.
+func (c *Core) advanceMirrors(now logic.Micros) {
 	ms := &c.mirrors
-	if ms.next == 0 || ms.next > now {
+	if ms.nextAt == 0 || ms.nextAt > now {
 		return
 	}
-	for _, m := range slices.Clone(ms.awake) {
-		if m.next == 0 || m.next > now {
+	for _, m := range slices.Clone(ms.active) {
+		if m.nextAt == 0 || m.nextAt > now {
 			continue
 		}
 		m.Late(now)
-		c.carry(now, m)
-		m.next = m.Next()
-		if !ms.still {
-			c.catchUp(now, m)
+		c.applyMirrorActions(now, m)
+		m.nextAt = m.Next()
+		if !ms.fillsStopped {
+			c.startFills(now, m)
 		}
 	}
-	ms.next = 0
-	ms.awake = slices.DeleteFunc(ms.awake, func(m *mirror) bool {
-		if m.awake = !m.Idle(); m.awake && m.next > 0 && (ms.next == 0 || m.next < ms.next) {
-			ms.next = m.next
+	ms.nextAt = 0
+	ms.active = slices.DeleteFunc(ms.active, func(m *mirror) bool {
+		if m.active = !m.Idle(); m.active && m.nextAt > 0 && (ms.nextAt == 0 || m.nextAt < ms.nextAt) {
+			ms.nextAt = m.nextAt
 		}
-		return !m.awake
+		return !m.active
 	})
 }
 
-// catchUp begins to catch up what can be of a mirror.
-func (c *Core) catchUp(now logic.Micros, m *mirror) {
+// startFills starts the fills of a mirror that are possible now.
+func (c *Core) startFills(now logic.Micros, m *mirror) {
 	ready := copies.Mask(0)
-	for i, p := range m.x.Copies {
-		if c.reach(p.Cell) {
+	for i, p := range m.extent.Copies {
+		if c.reachable(p.Cell) {
 			ready |= copies.Of(i)
 		}
 	}
-	for c.mirrors.fills < c.cfg.Copies.Together {
+	for c.mirrors.activeFills < c.cfg.Copies.Together {
 		f, ok, wait := m.Fill(now, ready)
 		if !ok {
-			if wait > 0 && (m.next == 0 || now+wait < m.next) {
-				m.next = now + wait
+			if wait > 0 && (m.nextAt == 0 || now+wait < m.nextAt) {
+				m.nextAt = now + wait
 			}
 			return
 		}
-		c.fill(now, &fill{Fill: f, mirror: m})
+		c.beginFill(now, &fill{Fill: f, mirror: m})
 	}
 }
 
-// lookAgain has every mirror tended: what they can do may have changed.
-func (c *Core) lookAgain() {
-	for _, m := range c.mirrors.awake {
-		m.next, c.mirrors.next = 1, 1
+// recheckMirrors makes every active mirror due, because the fills that are possible may have changed.
+func (c *Core) recheckMirrors() {
+	for _, m := range c.mirrors.active {
+		m.nextAt, c.mirrors.nextAt = 1, 1
 	}
 }
 
-// fill begins to catch up a run of bytes: the read takes its turn among the changes at the source, and the place of the
-// write is kept among those at the target.
-func (c *Core) fill(now logic.Micros, f *fill) {
-	x, v, class := f.mirror.x, f.mirror.vol, c.cfg.Copies.Class
+// beginFill starts a fill. Its read is ordered among the changes at the source, and the position of its write is
+// reserved among those at the target.
+func (c *Core) beginFill(now logic.Micros, f *fill) {
+	x, v, class := f.mirror.extent, f.mirror.volume, c.cfg.Copies.Class
 	n := f.To - f.From
 	refused := func(wait logic.Micros) {
 		f.mirror.Filled(now, f.Fill, false, wait)
 	}
-	from, wait, ok := c.ask(now, class, x.Copies[f.Source].Cell, n)
+	sourceBytes, wait, ok := c.requestBudget(now, class, x.Copies[f.Source].Cell, n)
 	if !ok {
 		refused(wait)
 		return
 	}
-	to, wait, ok := c.ask(now, class, x.Copies[f.Target].Cell, n)
+	targetBytes, wait, ok := c.requestBudget(now, class, x.Copies[f.Target].Cell, n)
 	if !ok || !v.memory.TryAcquire(n) {
-		c.budget.Back(now, from+to)
+		c.budget.Back(now, sourceBytes+targetBytes)
 		refused(wait)
 		return
 	}
-	by := now + c.cfg.Logic.Classes[class].Deadline - c.cfg.Times.AnswerMargin
-	op := func(k block.Kind, copy int, asked float64) *piece {
+	deadline := now + c.cfg.Logic.Classes[class].Deadline - c.cfg.Times.AnswerMargin
+	newFillPiece := func(k block.Kind, copy int, asked float64) *piece {
 		op := NewOp()
-		op.Release() // there is no front
-		op.Volume, op.Kind, op.Class, op.Offset, op.Len, op.fill, op.taken = v.index, k, class, x.Start+f.From, n, f, now
-		p := c.newPiece(op, v, x, copy, 0, n, by)
-		p.ordered, p.asked = true, asked
+		op.Release() // releases the front's reference, as there is no front
+		op.Volume, op.Kind, op.Class, op.Offset, op.Len, op.fill, op.takenAt = v.index, k, class, x.Start+f.From, n, f, now
+		p := c.newPiece(op, v, x, copy, 0, n, deadline)
+		p.ordered, p.budgetBytes = true, asked
 		return p
 	}
-	f.read, f.write = op(block.Read, f.Source, from), op(block.Write, f.Target, to)
+	f.read, f.write = newFillPiece(block.Read, f.Source, sourceBytes), newFillPiece(block.Write, f.Target, targetBytes)
 	f.read.op.Buffer = block.NewBuffer(n, v.memory.Release)
 	f.write.held = true
-	c.mirrors.fills++
+	c.mirrors.activeFills++
 	start := x.Start + f.From
 	v.orders[f.Target].Reserve(f.write.id, start, start+n)
-	c.launch(f.read)
+	c.dispatch(f.read)
 }
 
-// fillEnded goes on with catching up when its read or its write has ended.
+// fillEnded continues a fill whose read or write has ended.
 func (c *Core) fillEnded(now logic.Micros, p *piece, served bool, coolDown logic.Micros) {
 	f := p.op.fill
 	if served && p == f.read {
 		w := f.write
-		w.op.Buffer, w.op.at = p.result.Hold(), p.at
-		w.dropDead = now + c.cfg.Logic.Classes[c.cfg.Copies.Class].Deadline - c.cfg.Times.AnswerMargin
-		if key, ok := w.vol.orders[w.copy].Ready(w.id, w.dropDead); ok {
-			c.arrive(w, key)
+		w.op.Buffer, w.op.bufferOffset = p.result.Hold(), p.resultOffset
+		w.deadline = now + c.cfg.Logic.Classes[c.cfg.Copies.Class].Deadline - c.cfg.Times.AnswerMargin
+		if key, ok := w.volume.orders[w.copyIndex].Ready(w.id, w.deadline); ok {
+			c.submit(w, key)
 		}
 		return
 	}
 	if p == f.read {
 		f.write.answered = true
-		c.forget(now, f.write)
+		c.releasePiece(now, f.write)
 	}
-	c.mirrors.fills--
+	c.mirrors.activeFills--
 	f.mirror.Filled(now, f.Fill, served, coolDown)
-	c.lookAgain() // also another one's turn may have come
+	c.recheckMirrors() // a fill of another mirror may be possible now
 }
 
-// ---- what outlasts the process ----
+// ---- State that survives a restart ----
 
-// Kept says that a mark is on stable storage, or that this cannot be told.
+// Kept reports whether a mark is on stable storage; ok is false if that is unknown.
 func (c *Core) Kept(now logic.Micros, m Mark, ok bool) {
-	at := c.vols[m.Volume].sets[m.Extent]
+	at := c.volumes[m.Volume].mirrors[m.Extent]
 	at.Kept(now, m.Mark, ok)
-	c.carry(now, at)
+	c.applyMirrorActions(now, at)
 }
 
-// RememberMark takes up a mark of an earlier process, before anything happens.
+// RememberMark restores a mark of an earlier process. It must be called before any event.
 func (c *Core) RememberMark(m Mark) error {
-	at := c.vols[m.Volume].sets[m.Extent]
+	at := c.volumes[m.Volume].mirrors[m.Extent]
 	if err := at.Remember(m.Mark); err != nil {
 		return err
 	}
-	c.carry(0, at)
+	c.applyMirrorActions(0, at)
 	return nil
 }
 
-// Still begins to catch nothing up any more.
-func (c *Core) Still() { c.mirrors.still = true }
+// Still stops starting fills. Fills in progress go on.
+func (c *Core) Still() { c.mirrors.fillsStopped = true }
 
-// Mirrored is how the copies of a mirrored extent are.
+// Mirrored is the state of the copies of a mirrored extent.
 type Mirrored struct {
 	Volume, Extent int
-	Stale          int // regions in which a copy is
+	Stale          int // number of regions with a stale copy
 	Whole          []bool
 	Tally          copies.Tally
 }
 
-// Mirrors tells of all mirrored extents how their copies are.
+// Mirrors returns the state of the copies of all mirrored extents.
 func (c *Core) Mirrors() (out []Mirrored) {
-	for i := range c.vols {
-		for j, m := range c.vols[i].sets {
+	for i := range c.volumes {
+		for j, m := range c.volumes[i].mirrors {
 			if m == nil {
 				continue
 			}
 			at := Mirrored{Volume: i, Extent: j, Stale: m.Stale(), Tally: m.Tally}
-			for k := range m.x.Copies {
+			for k := range m.extent.Copies {
 				at.Whole = append(at.Whole, m.Whole(k))
 			}
 			out = append(out, at)
--- a/internal/engine/mirror_test.go
+++ b/internal/engine/mirror_test.go
@@ -50,57 +50,57 @@
 	return cfg
 }
 
-// shelf is a block of a namespace at a node.
-type shelf struct {
+// blockAddress is the address of a block in a namespace of a node.
+type blockAddress struct {
 	node  logic.NodeID
 	ns    uint32
 	block int64
 }
 
-type late struct {
-	a  *block.Attempt
-	by logic.Micros
+type droppedAttempt struct {
+	attempt *block.Attempt
+	endAt   logic.Micros
 }
 
-// pool is nodes that hold blocks, and a core before them.
-type pool struct {
+// fakeNodes emulates nodes that store blocks, and drives a core in front of them.
+type fakeNodes struct {
 	*rapid.T
-	cfg    *settings.Config
-	c      *Core
-	now    logic.Micros
-	disk   map[shelf]uint64
-	out    []*block.Attempt
-	late   []late // dropped, and may land for a while
-	marks  map[Mark]int
-	keeps  []Action
-	live   map[*Op]*asked
-	order  []*asked       // of those in live, as asked
-	ends   map[uint64]int // when a write was over for its client, by its value
-	acked  map[int64]int  // by block, when the last write was asked that has been served
-	served int
-	value  uint64
-	clock  int // counts what happens to clients
-	done   func(op *Op, r *asked)
+	cfg         *settings.Config
+	c           *Core
+	now         logic.Micros
+	disk        map[blockAddress]uint64
+	outstanding []*block.Attempt
+	dropped     []droppedAttempt // dropped, but may still be executed until endAt
+	marks       map[Mark]int
+	markActions []Action
+	live        map[*Op]*pendingRequest
+	order       []*pendingRequest // the requests in live, in the order they were made
+	endedAt     map[uint64]int    // eventCount at the end of a write for its client, by the value written
+	servedSince map[int64]int     // by block: startedAt of the latest write that was served
+	served      int
+	lastValue   uint64
+	eventCount  int // counts the starts and ends of requests
+	done        func(op *Op, r *pendingRequest)
 }
 
-// asked is a request that is not over for its client: the value that a write writes, when it was asked, and for a read
-// what had been served by then.
-type asked struct {
-	op    *Op
-	value uint64
-	begun int
-	acked map[int64]int
+// pendingRequest is a request that has not ended for its client. For a write, value is what it writes; for a read,
+// servedSince is the state of fakeNodes.servedSince when it was made.
+type pendingRequest struct {
+	op          *Op
+	value       uint64
+	startedAt   int
+	servedSince map[int64]int
 }
 
-const blocks512 = (128 + 64 + 64) * 2
+const blockCount = (128 + 64 + 64) * 2
 
-func (p *pool) Done(*Op)                  {}
-func (p *pool) Sending(*Op, logic.NodeID) {}
+func (p *fakeNodes) Done(*Op)                  {}
+func (p *fakeNodes) Sending(*Op, logic.NodeID) {}
 
-// land lets an attempt take its effect at its node.
-func (p *pool) land(a *block.Attempt) {
+// execute applies an attempt to the blocks of its node.
+func (p *fakeNodes) execute(a *block.Attempt) {
 	for i := int64(0); i < a.Len/512; i++ {
-		at := shelf{a.Node, a.Namespace, a.Offset/512 + i}
+		at := blockAddress{a.Node, a.Namespace, a.Offset/512 + i}
 		switch a.Kind {
 		case block.Write:
 			p.disk[at] = binary.LittleEndian.Uint64(a.Bytes()[i*512:])
@@ -110,19 +110,19 @@
 	}
 }
 
-func (p *pool) step() {
+func (p *fakeNodes) step() {
 	for {
 		for _, a := range p.c.Step(p.now) {
 			switch a.Kind {
 			case Start:
-				p.out = append(p.out, a.Attempt)
+				p.outstanding = append(p.outstanding, a.Attempt)
 				if a.Attempt.Kind == block.Write && a.Attempt.Namespace == 7 && !a.Attempt.Durable {
 					p.Fatal("a change of a mirrored extent is not durable when it is answered")
 				}
 			case Drop:
-				p.late = append(p.late, late{a.Attempt, p.now + 90_000})
+				p.dropped = append(p.dropped, droppedAttempt{a.Attempt, p.now + 90_000})
 			case Keep, Forget:
-				p.keeps = append(p.keeps, a)
+				p.markActions = append(p.markActions, a)
 			case Finish:
 				p.finish(a.Op)
 			}
@@ -133,13 +133,13 @@
 	}
 }
 
-// older tells whether a value was over for its client before a write was asked that was served then: who finds it has
-// lost that write. Writes that were asked at the same time may take effect in either order.
-func (p *pool) older(value uint64, acked int) bool { return p.ends[value] < acked && acked > 0 }
+// isStale reports whether the write of a value had ended for its client before the start of a write that has been
+// served: a read that returns the value has lost the later write. Concurrent writes may take effect in either order.
+func (p *fakeNodes) isStale(v uint64, since int) bool { return p.endedAt[v] < since && since > 0 }
 
-// over takes a request away from its client.
-func (p *pool) over(r *asked) {
-	p.clock++
+// removeRequest ends a request for its client.
+func (p *fakeNodes) removeRequest(r *pendingRequest) {
+	p.eventCount++
 	delete(p.live, r.op)
 	for i, o := range p.order {
 		if o == r {
@@ -148,29 +148,29 @@
 		}
 	}
 	if r.value > 0 {
-		p.ends[r.value] = p.clock
+		p.endedAt[r.value] = p.eventCount
 	}
 }
 
-func (p *pool) finish(op *Op) {
+func (p *fakeNodes) finish(op *Op) {
 	r := p.live[op]
 	if r == nil {
 		p.Fatal("an answer to a request that has one or whose client is gone")
 	}
-	p.over(r)
+	p.removeRequest(r)
 	if p.done != nil {
 		p.done(op, r)
 	} else if op.Verdict == block.Served {
 		p.served++
 		for b := op.Offset / 512; b < (op.Offset+op.Len)/512 && op.Kind == block.Write; b++ {
-			p.acked[b] = max(p.acked[b], r.begun)
+			p.servedSince[b] = max(p.servedSince[b], r.startedAt)
 		}
 		if op.Kind == block.Read {
 			op.Each(func(at int64, data []byte) {
 				for i := int64(0); i < int64(len(data))/512; i++ {
 					b := (op.Offset+at)/512 + i
-					if got := binary.LittleEndian.Uint64(data[i*512:]); p.older(got, r.acked[b]) {
-						p.Fatalf("block %d read as %d, which was over before what had been served", b, got)
+					if got := binary.LittleEndian.Uint64(data[i*512:]); p.isStale(got, r.servedSince[b]) {
+						p.Fatalf("block %d read as %d, which is older than a served write", b, got)
 					}
 				}
 			})
@@ -179,21 +179,21 @@
 	op.Release()
 }
 
-func (p *pool) ask(kind block.Kind, b, n int64) *Op {
+func (p *fakeNodes) request(kind block.Kind, b, n int64) *Op {
 	op := NewOp()
 	op.Kind, op.Offset, op.Len, op.Front = kind, b*512, n*512, p
 	op.Buffer = block.NewBuffer(op.Len, nil)
-	p.clock++
-	r := &asked{op: op, begun: p.clock}
+	p.eventCount++
+	r := &pendingRequest{op: op, startedAt: p.eventCount}
 	if kind == block.Write {
-		p.value++
-		r.value = p.value
-		p.ends[r.value] = math.MaxInt
+		p.lastValue++
+		r.value = p.lastValue
+		p.endedAt[r.value] = math.MaxInt
 		for i := range n {
-			binary.LittleEndian.PutUint64(op.Buffer.B[i*512:], p.value)
+			binary.LittleEndian.PutUint64(op.Buffer.B[i*512:], p.lastValue)
 		}
 	} else {
-		r.acked = maps.Clone(p.acked)
+		r.servedSince = maps.Clone(p.servedSince)
 	}
 	p.live[op] = r
 	p.order = append(p.order, r)
@@ -202,24 +202,24 @@
 	return op
 }
 
-func (p *pool) end(i int, o logic.Outcome, lands bool) {
-	a := p.out[i]
-	p.out = append(p.out[:i], p.out[i+1:]...)
-	for j, l := range p.late {
-		if l.a == a {
-			p.late = append(p.late[:j], p.late[j+1:]...)
+func (p *fakeNodes) end(i int, o logic.Outcome, executed bool) {
+	a := p.outstanding[i]
+	p.outstanding = append(p.outstanding[:i], p.outstanding[i+1:]...)
+	for j, l := range p.dropped {
+		if l.attempt == a {
+			p.dropped = append(p.dropped[:j], p.dropped[j+1:]...)
 			break
 		}
 	}
-	if lands {
-		p.land(a)
+	if executed {
+		p.execute(a)
 	}
 	p.c.Ended(p.now, a, block.Result{Outcome: o, Load: logic.NoLoad})
 	p.step()
 }
 
-func (p *pool) index(a *block.Attempt) int {
-	for i, x := range p.out {
+func (p *fakeNodes) index(a *block.Attempt) int {
+	for i, x := range p.outstanding {
 		if x == a {
 			return i
 		}
@@ -227,24 +227,24 @@
 	return -1
 }
 
-func (p *pool) pass(d logic.Micros, lands func() bool) {
+func (p *fakeNodes) advance(d logic.Micros, executed func() bool) {
 	for end := p.now + d; p.now < end; {
 		next := p.c.Next()
 		if next == 0 || next > end {
 			next = end
 		}
-		for len(p.late) > 0 && p.late[0].by <= next {
-			p.end(p.index(p.late[0].a), logic.Cancelled, lands())
+		for len(p.dropped) > 0 && p.dropped[0].endAt <= next {
+			p.end(p.index(p.dropped[0].attempt), logic.Cancelled, executed())
 		}
 		p.now = max(next, p.now)
 		p.step()
 	}
 }
 
-func (p *pool) keep(ok bool) {
-	for len(p.keeps) > 0 {
-		k := p.keeps[0]
-		p.keeps = p.keeps[1:]
+func (p *fakeNodes) applyMarks(ok bool) {
+	for len(p.markActions) > 0 {
+		k := p.markActions[0]
+		p.markActions = p.markActions[1:]
 		at := k.Mark
 		at.Lead = 0
 		if k.Kind == Forget {
@@ -259,7 +259,7 @@
 	}
 }
 
-func (p *pool) begin(seed uint64) {
+func (p *fakeNodes) start(seed uint64) {
 	var err error
 	if p.c, err = NewCore(p.cfg, seed, 1); err != nil {
 		p.Fatal(err)
@@ -272,68 +272,70 @@
 	}
 	p.c.Rest(p.now)
 	for id := range 3 {
-		p.node(id, logic.Ready)
+		p.setNode(id, logic.Ready)
 	}
 }
 
-// gone is a client that leaves.
-func (p *pool) gone(r *asked) {
-	p.over(r)
+// clientGone makes the client of a request leave.
+func (p *fakeNodes) clientGone(r *pendingRequest) {
+	p.removeRequest(r)
 	p.c.Gone(p.now, r.op)
 	r.op.Release()
 	p.step()
 }
 
-// crash ends the gateway: what is out lands or does not, at the latest before the changes' rest is over; and begins anew.
-func (p *pool) crash(seed uint64, lands func() bool) {
-	for _, a := range p.out {
-		if lands() {
-			p.land(a)
+// crash restarts the gateway. Outstanding attempts are executed or lost at once, that is before the pause that holds
+// back changes has ended.
+func (p *fakeNodes) crash(seed uint64, executed func() bool) {
+	for _, a := range p.outstanding {
+		if executed() {
+			p.execute(a)
 		}
 	}
-	p.out, p.late, p.keeps = nil, nil, nil
+	p.outstanding, p.dropped, p.markActions = nil, nil, nil
 	for len(p.order) > 0 {
-		p.over(p.order[0])
+		p.removeRequest(p.order[0])
 	}
-	p.begin(seed)
+	p.start(seed)
 }
 
-func newPool(t *rapid.T, cfg *settings.Config) *pool {
-	return &pool{T: t, cfg: cfg, now: 1_000_000, disk: map[shelf]uint64{}, marks: map[Mark]int{}, live: map[*Op]*asked{}, ends: map[uint64]int{},
-		acked: map[int64]int{}}
+func newFakeNodes(t *rapid.T, cfg *settings.Config) *fakeNodes {
+	return &fakeNodes{T: t, cfg: cfg, now: 1_000_000, disk: map[blockAddress]uint64{}, marks: map[Mark]int{}, live: map[*Op]*pendingRequest{}, endedAt: map[uint64]int{},
+		servedSince: map[int64]int{}}
 }
 
-func (p *pool) node(i int, s logic.NodeState) {
+func (p *fakeNodes) setNode(i int, s logic.NodeState) {
 	n := p.cfg.Nodes[i]
 	p.c.Nodes(p.now, []logic.Node{{ID: n.ID, Cell: n.Cell, Zone: n.Zone, State: s}})
 	p.step()
 }
 
-// Under any course of writes and reads of mirrored extents, ends of every kind and their late landing, nodes that go and
-// come, clients that leave, marks that cannot be kept, and crashes of the gateway: a read gives no less than what was
-// served when it was asked, all is answered, and in the end all copies are alike and nothing is left behind.
+// TestMirrors runs random sequences of writes and reads of mirrored extents, attempt ends of every kind, late execution
+// of dropped attempts, nodes that go and return, leaving clients, marks that cannot be stored, and crashes of the
+// gateway. A read must return nothing older than what had been served when it was made, each request must be answered,
+// and in the end all copies must be identical and nothing may be left.
 func TestMirrors(t *testing.T) {
 	cfgs := map[string]*settings.Config{"1": mirrorConfig(t, "1"), "2": mirrorConfig(t, "2")}
 	served := 0
 	for range 5 {
 		rapid.Check(t, func(t *rapid.T) {
-			p := newPool(t, cfgs[rapid.SampledFrom([]string{"1", "2"}).Draw(t, "hold")])
-			p.begin(rapid.Uint64().Draw(t, "seed"))
-			p.pass(150_000, func() bool { return false })
+			p := newFakeNodes(t, cfgs[rapid.SampledFrom([]string{"1", "2"}).Draw(t, "hold")])
+			p.start(rapid.Uint64().Draw(t, "seed"))
+			p.advance(150_000, func() bool { return false })
 			coin := func() bool { return rapid.Bool().Draw(t, "lands") }
-			// Few blocks, on both sides of the ends of regions and extents, so that requests meet.
+			// Only a few blocks on both sides of the bounds of regions and extents, so that requests overlap.
 			spots := []int64{0, 1, 126, 127, 128, 129, 254, 255, 256, 383, 384, 385}
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				switch k := rapid.IntRange(0, 19).Draw(t, "what"); {
 				case k < 4:
 					b := rapid.SampledFrom(spots).Draw(t, "at")
-					p.ask(block.Write, b, rapid.Int64Range(1, 3).Draw(t, "n"))
+					p.request(block.Write, b, rapid.Int64Range(1, 3).Draw(t, "n"))
 				case k < 7:
-					p.ask(block.Read, rapid.SampledFrom(spots).Draw(t, "at"), rapid.Int64Range(1, 2).Draw(t, "n"))
+					p.request(block.Read, rapid.SampledFrom(spots).Draw(t, "at"), rapid.Int64Range(1, 2).Draw(t, "n"))
 				case k < 9:
-					p.keep(rapid.IntRange(0, 4).Draw(t, "kept") > 0)
-				case k < 15 && len(p.out) > 0:
-					i := rapid.IntRange(0, len(p.out)-1).Draw(t, "which")
+					p.applyMarks(rapid.IntRange(0, 4).Draw(t, "kept") > 0)
+				case k < 15 && len(p.outstanding) > 0:
+					i := rapid.IntRange(0, len(p.outstanding)-1).Draw(t, "which")
 					switch o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.OK, logic.OK, logic.OK, logic.Failed, logic.Full, logic.Reset,
 						logic.ConnectFailed}).Draw(t, "outcome"); o {
 					case logic.OK:
@@ -344,29 +346,29 @@
 						p.end(i, o, false)
 					}
 				case k == 15:
-					p.node(rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom([]logic.NodeState{logic.Ready, logic.Ready, logic.Gone, logic.Draining}).Draw(t, "state"))
+					p.setNode(rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom([]logic.NodeState{logic.Ready, logic.Ready, logic.Gone, logic.Draining}).Draw(t, "state"))
 				case k == 16 && len(p.live) > 0:
-					p.gone(p.order[rapid.IntRange(0, len(p.order)-1).Draw(t, "who")])
+					p.clientGone(p.order[rapid.IntRange(0, len(p.order)-1).Draw(t, "who")])
 				case k == 17 && rapid.IntRange(0, 3).Draw(t, "crash") == 0:
 					p.crash(rapid.Uint64().Draw(t, "seed"), coin)
 				default:
-					p.pass(logic.Micros(rapid.IntRange(1, 120_000).Draw(t, "pass")), coin)
+					p.advance(logic.Micros(rapid.IntRange(1, 120_000).Draw(t, "pass")), coin)
 				}
 			}
-			p.pass(700_000, coin)
+			p.advance(700_000, coin)
 			if len(p.live) > 0 {
 				t.Fatalf("%d requests were never answered", len(p.live))
 			}
-			// All is well again: everything is caught up.
+			// All nodes are ready again: all copies must be caught up.
 			for i := range 3 {
-				p.node(i, logic.Ready)
+				p.setNode(i, logic.Ready)
 			}
 			for range 600 {
-				p.keep(true)
-				if len(p.out) > 0 {
+				p.applyMarks(true)
+				if len(p.outstanding) > 0 {
 					p.end(0, logic.OK, true)
 				} else {
-					p.pass(100_000, coin)
+					p.advance(100_000, coin)
 				}
 			}
 			served += p.served
@@ -375,20 +377,20 @@
 					t.Fatalf("extent %d: %d regions are stale: %+v", m.Extent, m.Stale, m.Tally)
 				}
 			}
-			if tally := p.c.Tally(); tally.Ops != 0 || tally.Pieces != 0 || tally.Out != 0 || tally.Attempts != 0 || p.c.mirrors.fills != 0 || len(p.marks) != 0 || len(p.c.mirrors.awake) != 0 {
-				t.Fatalf("left behind: %+v, %d fills, marks %v, %d mirrors", tally, p.c.mirrors.fills, p.marks, len(p.c.mirrors.awake))
+			if tally := p.c.Tally(); tally.Ops != 0 || tally.Pieces != 0 || tally.Out != 0 || tally.Attempts != 0 || p.c.mirrors.activeFills != 0 || len(p.marks) != 0 || len(p.c.mirrors.active) != 0 {
+				t.Fatalf("not released: %+v, %d fills, marks %v, %d mirrors", tally, p.c.mirrors.activeFills, p.marks, len(p.c.mirrors.active))
 			}
-			if !p.c.vols[0].memory.TryAcquire(p.cfg.Volumes[0].Memory) {
-				t.Fatal("buffers are left")
+			if !p.c.volumes[0].memory.TryAcquire(p.cfg.Volumes[0].Memory) {
+				t.Fatal("not all buffers were released")
 			}
 			for i, x := range p.cfg.Volumes[0].Extents {
 				for b := range x.Len / 512 {
-					first := p.disk[shelf{logic.NodeID(x.Cell + 1), x.Namespace, x.Base/512 + b}]
-					if p.older(first, p.acked[x.Start/512+b]) {
-						t.Fatalf("block %d of extent %d holds %d, which was over before what was served", b, i, first)
+					first := p.disk[blockAddress{logic.NodeID(x.Cell + 1), x.Namespace, x.Base/512 + b}]
+					if p.isStale(first, p.servedSince[x.Start/512+b]) {
+						t.Fatalf("block %d of extent %d holds %d, which is older than a served write", b, i, first)
 					}
 					for _, c := range x.Copies[1:] {
-						if got := p.disk[shelf{logic.NodeID(c.Cell + 1), c.Namespace, c.Base/512 + b}]; got != first {
+						if got := p.disk[blockAddress{logic.NodeID(c.Cell + 1), c.Namespace, c.Base/512 + b}]; got != first {
 							t.Fatalf("block %d of extent %d: %d at cell %d, %d at cell %d", b, i, got, c.Cell, first, x.Cell)
 						}
 					}
@@ -401,21 +403,22 @@
 	}
 }
 
-// A read that its first copy does not serve goes on at the other, and its attempts count as one request's.
+// TestReadGoesElsewhere checks that a read that is not served by its first copy is retried at the other one, and that
+// its attempts count as those of one request.
 func TestReadGoesElsewhere(t *testing.T) {
 	cfg := mirrorConfig(t, "1")
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPool(t, cfg)
-		p.begin(1)
-		p.ask(block.Read, 0, 1)
-		if len(p.out) != 1 || p.out[0].Node != 1 {
-			t.Fatalf("%d sends, want one at home", len(p.out))
+		p := newFakeNodes(t, cfg)
+		p.start(1)
+		p.request(block.Read, 0, 1)
+		if len(p.outstanding) != 1 || p.outstanding[0].Node != 1 {
+			t.Fatalf("%d sends, want one in this zone", len(p.outstanding))
 		}
-		p.node(0, logic.Gone)
+		p.setNode(0, logic.Gone)
 		p.end(0, logic.Reset, false)
-		p.pass(100_000, func() bool { return false })
-		if len(p.out) != 1 || p.out[0].Node != 2 || p.out[0].Namespace != 7 || p.out[0].Offset != 64<<10 || p.c.Tally().Elsewhere != 1 {
-			t.Fatalf("out: %+v, tally %+v", p.out, p.c.Tally())
+		p.advance(100_000, func() bool { return false })
+		if len(p.outstanding) != 1 || p.outstanding[0].Node != 2 || p.outstanding[0].Namespace != 7 || p.outstanding[0].Offset != 64<<10 || p.c.Tally().Elsewhere != 1 {
+			t.Fatalf("outstanding: %+v, tally %+v", p.outstanding, p.c.Tally())
 		}
 		p.end(0, logic.OK, true)
 		if p.served != 1 || p.c.Tally().Repeats != 1 {
@@ -424,7 +427,7 @@
 	})
 }
 
-// What a change of a mirrored extent and a read of one cost, marks kept.
+// BenchmarkMirror measures a change and a read of a mirrored extent, with marks stored at once.
 func BenchmarkMirror(b *testing.B) {
 	cfg := mirrorConfig(b, "1")
 	c, err := NewCore(cfg, 1, 1)
@@ -455,7 +458,7 @@
 			for range b.N {
 				now += 200
 				op := NewOp()
-				op.Kind, op.Len, op.Front = kind, 4096, nobody{}
+				op.Kind, op.Len, op.Front = kind, 4096, discardFront{}
 				op.Buffer = block.NewBuffer(4096, nil)
 				c.Take(now, op)
 				run()
--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -12,15 +12,16 @@
 	"appleplank/slabs"
 )
 
-// A volume of objects has no addresses that its clients know: a write of a new object may go to any node, logic places
-// it, and it gets its bytes at the node it is sent to. Where it lies is told with its answer; reads go there like any.
+// The clients of a volume of objects do not address bytes of it. A write of a new object may go to any node: logic
+// chooses the node, and the object gets its space when it is sent there. The answer reports its offset, and reads use
+// that offset as in any other volume.
 
-// object is a new object on its way.
+// object is a new object whose write is in progress.
 type object struct {
 	placing.Object
-	places map[int]int64 // by cell: where it was sent to
-	served bool
-	at     int64 // where it lies, once it is served
+	offsets map[int]int64 // by cell: the offset allocated for it there
+	served  bool
+	offset  int64 // its final offset, once it is served
 }
 
 func newSpace(v *settings.Volume) *slabs.Space {
@@ -31,7 +32,7 @@
 	return slabs.New(all)
 }
 
-// cell is the one that a piece goes to, below zero where it may go to any.
+// cell returns the cell that a piece goes to, or a negative number if it may go to any.
 func (p *piece) cell() int {
 	if p.object != nil {
 		return p.object.Only
@@ -39,102 +40,103 @@
 	return p.place.Cell
 }
 
-// newObject takes a write of a new object.
-func (c *Core) newObject(now logic.Micros, op *Op, v *volume, by logic.Micros) {
-	p := c.newPiece(op, v, nil, 0, 0, op.Len, by)
+// beginObject starts the write of a new object.
+func (c *Core) beginObject(now logic.Micros, op *Op, v *volume, deadline logic.Micros) {
+	p := c.newPiece(op, v, nil, 0, 0, op.Len, deadline)
 	p.ordered = false
-	p.object = &object{Object: placing.Object{Only: -1}, places: map[int]int64{}}
+	p.object = &object{Object: placing.Object{Only: -1}, offsets: map[int]int64{}}
 	if wait := v.space.Wait(now); wait > 0 {
-		c.answer(now, p, ranges.Refused, wait)
+		c.answerPiece(now, p, ranges.Refused, wait)
 		return
 	}
 	var cells []placing.Cell
-	for i := range c.cfg.Nodes { // also those that hold no slab of this volume: logic must not choose them either
+	for i := range c.cfg.Nodes { // includes cells without a slab of this volume, since logic must not choose them either
 		n := &c.cfg.Nodes[i]
 		if slices.ContainsFunc(cells, func(x placing.Cell) bool { return x.ID == n.Cell }) {
 			continue
 		}
-		cells = append(cells, placing.Cell{ID: n.Cell, Zone: c.zone(n), Ready: c.reach(n.Cell), NoRoom: !v.space.Fits(now, n.Cell, op.Len),
+		cells = append(cells, placing.Cell{ID: n.Cell, Zone: c.nodeZone(n), Ready: c.reachable(n.Cell), NoRoom: !v.space.Fits(now, n.Cell, op.Len),
 			Used: -v.space.Room(now, n.Cell)})
 	}
 	var err error
 	if p.object.Object, err = placing.NewObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
 		op.NoRoom = true
-		c.answer(now, p, ranges.Refused, 0)
+		c.answerPiece(now, p, ranges.Refused, 0)
 		return
 	}
-	c.part(now, p)
+	c.admit(now, p)
 }
 
-// findRoom gives an attempt of a new object its bytes at the node it goes to; a further attempt there has the same.
-func (c *Core) findRoom(now logic.Micros, a *attempt) bool {
-	p := a.p
+// allocateSpace allocates space for an attempt of a new object at the node it goes to. A further attempt at the same
+// cell reuses that space. It returns false if no space is free.
+func (c *Core) allocateSpace(now logic.Micros, a *attempt) bool {
+	p := a.piece
 	cell := c.nodes[a.Node].Cell
-	at, known := p.object.places[cell]
+	at, known := p.object.offsets[cell]
 	if !known {
 		var ok bool
-		if at, ok = p.vol.space.Alloc(now, cell, p.len); !ok {
+		if at, ok = p.volume.space.Alloc(now, cell, p.len); !ok {
 			return false
 		}
-		p.object.places[cell] = at
+		p.object.offsets[cell] = at
 	}
-	x := &p.vol.Extents[p.vol.find(at)]
-	a.Namespace, a.Offset, a.object = x.Namespace, x.Base+at-x.Start, at
+	x := &p.volume.Extents[p.volume.extentAt(at)]
+	a.Namespace, a.Offset, a.objectOffset = x.Namespace, x.Base+at-x.Start, at
 	return true
 }
 
-// objectEnded notes where a new object lies, and what an attempt may yet do to its bytes.
+// objectEnded records the offset of a served object, and marks its space busy while an attempt may still write to it.
 func (c *Core) objectEnded(a *attempt, o logic.Outcome) {
-	p := a.p
+	p := a.piece
 	switch o {
 	case logic.OK:
 		if !p.answered {
-			p.object.served, p.object.at = true, a.object
-			p.op.Offset = a.object
+			p.object.served, p.object.offset = true, a.objectOffset
+			p.op.Offset = a.objectOffset
 		}
 	case logic.TimedOut, logic.Reset, logic.Cancelled:
-		p.vol.space.Busy(a.object, p.rest)
+		p.volume.space.Busy(a.objectOffset, p.runningUntil)
 	}
 }
 
-// letGo gives back the bytes that a new object got and does not lie on.
-func (c *Core) letGo(now logic.Micros, p *piece) {
+// freeUnusedSpace frees all space allocated for a new object except where it was stored.
+func (c *Core) freeUnusedSpace(now logic.Micros, p *piece) {
 	o := p.object
-	for _, at := range sorted(o.places) {
-		if !o.served || at != o.at {
-			if err := p.vol.space.Free(now, at); err != nil {
-				c.out = append(c.out, Action{Kind: Note, Text: err.Error()})
+	for _, at := range sortedByCell(o.offsets) {
+		if !o.served || at != o.offset {
+			if err := p.volume.space.Free(now, at); err != nil {
+				c.actions = append(c.actions, Action{Kind: Note, Text: err.Error()})
 			}
 		}
 	}
-	o.places = nil
+	o.offsets = nil
 }
 
-// sorted gives the places in the order of the cells, so that nothing depends on map order.
-func sorted(places map[int]int64) (out []int64) {
-	for _, cell := range slices.Sorted(maps.Keys(places)) {
-		out = append(out, places[cell])
+// sortedByCell returns the offsets in the order of their cells, so that nothing depends on map order.
+func sortedByCell(offsets map[int]int64) (out []int64) {
+	for _, cell := range slices.Sorted(maps.Keys(offsets)) {
+		out = append(out, offsets[cell])
 	}
 	return out
 }
 
-// TakeSpace marks what an object lies on as used, before anything happens.
+// TakeSpace marks the n bytes of an object at offset at as used. It must be called before any event.
 func (c *Core) TakeSpace(volume int, at, n int64) error {
-	v := &c.vols[volume]
+	v := &c.volumes[volume]
 	if v.space == nil {
-		return fmt.Errorf("engine: volume %q is a disk", v.Name)
+		return fmt.Errorf("engine: volume %q is a disk, not a volume of objects", v.Name)
 	}
 	return v.space.Take(at, n)
 }
 
-// FreeSpace gives an object's bytes back. Nobody may read them any more.
+// FreeSpace frees the space of the object at offset at. Nobody may read the object any more.
 func (c *Core) FreeSpace(now logic.Micros, volume int, at int64) {
-	if err := c.vols[volume].space.Free(now, at); err != nil {
-		c.out = append(c.out, Action{Kind: Note, Text: err.Error()})
+	if err := c.volumes[volume].space.Free(now, at); err != nil {
+		c.actions = append(c.actions, Action{Kind: Note, Text: err.Error()})
 	}
 }
 
-// Space tells the free and used bytes of a volume of objects.
+// Space returns the free and used bytes of a volume of objects.
 func (c *Core) Space(now logic.Micros, volume int) (free, used int64) {
-	return c.vols[volume].space.Totals(now)
+	return c.volumes[volume].space.Totals(now)
 }
--- a/internal/engine/object_test.go
+++ b/internal/engine/object_test.go
@@ -42,23 +42,24 @@
 	return cfg
 }
 
-// Under any course of new objects, ends of every kind and their late landing, nodes that go, clients that leave, freeing,
-// and crashes: what was served lies whole where the answer says until it is freed, nothing lands on what another object
-// got, and in the end all space that no object lies on is free.
+// TestObjects runs random sequences of new objects, attempt ends of every kind, late execution of dropped attempts,
+// nodes that go, leaving clients, freeing and crashes. A served object must stay intact at the offset in its answer
+// until it is freed, no write may hit the space of another object, and in the end all space without an object must be
+// free.
 func TestObjects(t *testing.T) {
 	cfg := objectConfig(t)
 	served, home := 0, 0
 	for range 5 {
 		rapid.Check(t, func(t *rapid.T) {
-			p := newPool(t, cfg)
+			p := newFakeNodes(t, cfg)
 			type object struct {
 				at, blocks int64
 				value      uint64
 			}
 			var objects []object
-			p.begin(rapid.Uint64().Draw(t, "seed"))
+			p.start(rapid.Uint64().Draw(t, "seed"))
 			coin := func() bool { return rapid.Bool().Draw(t, "lands") }
-			p.done = func(op *Op, r *asked) {
+			p.done = func(op *Op, r *pendingRequest) {
 				if op.Verdict == block.Served && op.Fresh {
 					served++
 					if op.Offset < 96<<10 || op.Offset >= 160<<10 {
@@ -69,9 +70,9 @@
 			}
 			check := func() {
 				for _, o := range objects {
-					x := &cfg.Volumes[0].Extents[p.c.vols[0].find(o.at)]
+					x := &cfg.Volumes[0].Extents[p.c.volumes[0].extentAt(o.at)]
 					for b := range o.blocks {
-						if got := p.disk[shelf{logic.NodeID(x.Cell + 1), x.Namespace, (x.Base+o.at-x.Start)/512 + b}]; got != o.value {
+						if got := p.disk[blockAddress{logic.NodeID(x.Cell + 1), x.Namespace, (x.Base+o.at-x.Start)/512 + b}]; got != o.value {
 							t.Fatalf("object %d at %d: block %d holds %d", o.value, o.at, b, got)
 						}
 					}
@@ -83,18 +84,18 @@
 					op := NewOp()
 					op.Kind, op.Fresh, op.Len, op.Front = block.Write, true, rapid.Int64Range(1, 40).Draw(t, "blocks")*512, p
 					op.Buffer = block.NewBuffer(op.Len, nil)
-					p.value++
+					p.lastValue++
 					for i := range op.Len / 512 {
-						binary.LittleEndian.PutUint64(op.Buffer.B[i*512:], p.value)
+						binary.LittleEndian.PutUint64(op.Buffer.B[i*512:], p.lastValue)
 					}
-					p.clock++
-					r := &asked{op: op, begun: p.clock, value: p.value}
+					p.eventCount++
+					r := &pendingRequest{op: op, startedAt: p.eventCount, value: p.lastValue}
 					p.live[op] = r
 					p.order = append(p.order, r)
 					p.c.Take(p.now, op)
 					p.step()
-				case k < 13 && len(p.out) > 0:
-					i := rapid.IntRange(0, len(p.out)-1).Draw(t, "which")
+				case k < 13 && len(p.outstanding) > 0:
+					i := rapid.IntRange(0, len(p.outstanding)-1).Draw(t, "which")
 					switch o := rapid.SampledFrom([]logic.Outcome{logic.OK, logic.OK, logic.OK, logic.Failed, logic.Full, logic.Reset}).Draw(t, "outcome"); o {
 					case logic.OK:
 						p.end(i, o, true)
@@ -108,9 +109,9 @@
 					p.c.FreeSpace(p.now, 0, objects[i].at)
 					objects = append(objects[:i], objects[i+1:]...)
 				case k == 15:
-					p.node(rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom([]logic.NodeState{logic.Ready, logic.Ready, logic.Gone}).Draw(t, "state"))
+					p.setNode(rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom([]logic.NodeState{logic.Ready, logic.Ready, logic.Gone}).Draw(t, "state"))
 				case k == 16 && len(p.order) > 0:
-					p.gone(p.order[rapid.IntRange(0, len(p.order)-1).Draw(t, "who")])
+					p.clientGone(p.order[rapid.IntRange(0, len(p.order)-1).Draw(t, "who")])
 				case k == 17 && rapid.IntRange(0, 3).Draw(t, "crash") == 0:
 					p.crash(rapid.Uint64().Draw(t, "seed"), coin)
 					for _, o := range objects {
@@ -119,61 +120,62 @@
 						}
 					}
 				default:
-					p.pass(logic.Micros(rapid.IntRange(1, 120_000).Draw(t, "pass")), coin)
+					p.advance(logic.Micros(rapid.IntRange(1, 120_000).Draw(t, "pass")), coin)
 				}
 				check()
 			}
-			p.pass(700_000, coin)
+			p.advance(700_000, coin)
 			if len(p.live) > 0 {
 				t.Fatalf("%d requests were never answered", len(p.live))
 			}
-			for len(p.out) > 0 {
+			for len(p.outstanding) > 0 {
 				p.end(0, logic.Cancelled, false)
 			}
-			p.pass(300_000, coin)
+			p.advance(300_000, coin)
 			check()
 			for _, o := range objects {
 				p.c.FreeSpace(p.now, 0, o.at)
 			}
-			p.pass(300_000, coin)
+			p.advance(300_000, coin)
 			if free, used := p.c.Space(p.now, 0); free != cfg.Volumes[0].Size || used != 0 {
 				t.Fatalf("%d bytes are free, %d used", free, used)
 			}
 			if tally := p.c.Tally(); tally.Ops != 0 || tally.Pieces != 0 || tally.Out != 0 || tally.Attempts != 0 {
-				t.Fatalf("left behind: %+v", tally)
+				t.Fatalf("not released: %+v", tally)
 			}
 		})
 	}
 	if served < 200 || home < served/2 {
-		t.Errorf("%d objects were served, %d of them at home", served, home)
+		t.Errorf("%d objects were served, %d of them in this zone", served, home)
 	}
 }
 
-// Where nothing has room an object is refused at once as such; where only another zone has, it goes there.
+// TestObjectNoRoom checks that an object is refused at once with NoRoom where no cell has space, and goes to another
+// zone where only that one has space.
 func TestObjectNoRoom(t *testing.T) {
 	cfg := objectConfig(t)
-	h := newHand(t, cfg)
+	h := newManualDriver(t, cfg)
 	write := func(n int64) *Op {
 		op := NewOp()
 		op.Kind, op.Fresh, op.Len, op.Front, op.Buffer = block.Write, true, n, h, block.NewBuffer(n, nil)
 		h.c.Take(h.now, op)
-		h.pass(0)
+		h.advance(0)
 		return op
 	}
-	if op := write(65 << 10); len(h.got) != 1 || !op.NoRoom || op.Verdict != block.Refused {
-		t.Fatalf("larger than any slab: %d answers, no room %v", len(h.got), op.NoRoom)
+	if op := write(65 << 10); len(h.answered) != 1 || !op.NoRoom || op.Verdict != block.Refused {
+		t.Fatalf("larger than any slab: %d answers, NoRoom %v", len(h.answered), op.NoRoom)
 	}
-	write(64 << 10) // only cell 0 has room at home
-	if len(h.out) != 1 || h.out[0].Node != 1 || h.out[0].Namespace != 1 {
-		t.Fatalf("%+v", h.out)
+	write(64 << 10) // in this zone only cell 0 has space
+	if len(h.outstanding) != 1 || h.outstanding[0].Node != 1 || h.outstanding[0].Namespace != 1 {
+		t.Fatalf("%+v", h.outstanding)
 	}
 	h.end(logic.OK, 0, 0)
-	write(64 << 10) // home is full
-	if len(h.out) != 1 || h.out[0].Node != 3 {
-		t.Fatalf("%+v", h.out)
+	write(64 << 10) // this zone is full
+	if len(h.outstanding) != 1 || h.outstanding[0].Node != 3 {
+		t.Fatalf("%+v", h.outstanding)
 	}
 	h.end(logic.OK, 0, 0)
 	if op := write(64 << 10); !op.NoRoom {
-		t.Fatal("room was found though there is none")
+		t.Fatal("space was found though there is none")
 	}
 }
