--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -210,7 +210,7 @@
 	op.unanswered, op.unreleased = 1, 1 // held until all parts exist, so that no part ends the op early
 	if op.Fresh {
 		c.beginObject(now, op, v, deadline)
-	} else if op.Kind == block.Flush { // one flush per namespace of the volume; changes of mirrored extents are durable already
+	} else if op.Kind == block.Flush { // one per namespace; mirrored changes are durable already
 		for i := range v.Extents {
 			if x := &v.Extents[i]; len(x.Copies) == 1 && !sameNamespace(v.Extents[:i], x) {
 				c.admit(now, c.newPiece(op, v, x, 0, 0, 0, deadline))
@@ -304,6 +304,7 @@
 	return lo
 }
 
+// submit hands a piece to logic. Key is the key of its order of changes, 0 for other requests.
 func (c *Core) submit(p *piece, key uint64) {
 	p.held = false
 	a := logic.Arrival{
@@ -468,6 +469,8 @@
 	}
 }
 
+// send makes an attempt for a piece and adds the action that starts it. Without space or buffer memory the attempt ends
+// at once as moot.
 func (c *Core) send(now logic.Micros, s logic.Send) {
 	p := c.pieces[s.Request]
 	if p == nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -181,7 +181,7 @@
 	return t
 }
 
-// Drained waits until no op is held or ctx ends. Fronts must have stopped accepting requests. No copy is caught up from
+// Drained waits until no op is held or ctx ends. Fronts must have stopped accepting requests. No fill is started from
 // then on.
 func (e *Engine) Drained(ctx context.Context) error {
 	e.loop.WithLock(func(logic.Micros) {
