--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -186,7 +186,7 @@
 func (e *Engine) Drained(ctx context.Context) error {
 	e.loop.WithLock(func(logic.Micros) {
 		e.draining = true
-		e.core.Still()
+		e.core.StopFills()
 	})
 	e.loop.ForceStep()
 	select {
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -356,8 +356,8 @@
 	return nil
 }
 
-// Still stops starting fills. Fills in progress go on.
-func (c *Core) Still() { c.mirrors.fillsStopped = true }
+// StopFills stops starting fills. Fills in progress go on.
+func (c *Core) StopFills() { c.mirrors.fillsStopped = true }
 
 // Mirrored is the state of the copies of a mirrored extent.
 type Mirrored struct {
