--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -150,12 +150,12 @@
 }
 
 // Remember restores what an earlier process has learned. It must be called before any event. Where that process did not
-// shut down in good order, call [Core.Rest] too.
+// shut down in good order, call [Core.HoldChanges] too.
 func (c *Core) Remember(now logic.Micros, m logic.Snapshot) error { return c.host.Restore(now, m) }
 
-// Rest holds all changes back for the order rule's pause (OrderPause), because attempts of a killed process may still
+// HoldChanges holds all changes back for the order rule's pause (OrderPause), because attempts of a killed process may still
 // run.
-func (c *Core) Rest(now logic.Micros) {
+func (c *Core) HoldChanges(now logic.Micros) {
 	for i := range c.volumes {
 		for _, o := range c.volumes[i].orders {
 			o.PauseUntil(now + c.cfg.Logic.Rules.OrderPause)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -141,7 +141,7 @@
 func (e *Engine) Remember(m *logic.Snapshot, rest bool) (err error) {
 	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
-			e.core.Rest(now)
+			e.core.HoldChanges(now)
 		}
 		if m != nil {
 			err = e.core.Remember(now, *m)
--- a/internal/engine/mirror_test.go
+++ b/internal/engine/mirror_test.go
@@ -270,7 +270,7 @@
 			p.Fatal(err)
 		}
 	}
-	p.c.Rest(p.now)
+	p.c.HoldChanges(p.now)
 	for id := range 3 {
 		p.setNode(id, logic.Ready)
 	}
