--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -149,9 +149,9 @@
 	return c, nil
 }
 
-// Remember restores what an earlier process has learned. It must be called before any event. Where that process did not
+// Restore restores what an earlier process has learned. It must be called before any event. Where that process did not
 // shut down in good order, call [Core.HoldChanges] too.
-func (c *Core) Remember(now logic.Micros, m logic.Snapshot) error { return c.host.Restore(now, m) }
+func (c *Core) Restore(now logic.Micros, m logic.Snapshot) error { return c.host.Restore(now, m) }
 
 // HoldChanges holds all changes back for the order rule's pause (OrderPause), because attempts of a killed process may still
 // run.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -144,7 +144,7 @@
 			e.core.HoldChanges(now)
 		}
 		if m != nil {
-			err = e.core.Remember(now, *m)
+			err = e.core.Restore(now, *m)
 		}
 	})
 	return err
