--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -136,9 +136,9 @@
 // Nodes reports changes of the node list.
 func (e *Engine) Nodes(list []logic.Node) { e.loop.Post(input{kind: nodesChanged, nodes: list}) }
 
-// Remember restores what an earlier process has learned, where m is not nil. It must be called before any event. Rest
+// Restore restores what an earlier process has learned, where m is not nil. It must be called before any event. Rest
 // is set where that process may have left attempts running at nodes.
-func (e *Engine) Remember(m *logic.Snapshot, rest bool) (err error) {
+func (e *Engine) Restore(m *logic.Snapshot, rest bool) (err error) {
 	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
 			e.core.HoldChanges(now)
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -25,7 +25,7 @@
 func (g *Gateway) recall() error {
 	dir := g.cfg.State.Dir
 	if dir == "" {
-		return errors.Join(g.Engine.Remember(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
+		return errors.Join(g.Engine.Restore(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
 	}
 	store, err := state.Open(dir, fmt.Sprintf("gateway %s, process %d", g.cfg.Name, os.Getpid()))
 	if err != nil {
@@ -38,7 +38,7 @@
 		log.Warn("started without", zap.Error(err))
 	}
 	if st == nil {
-		return errors.Join(g.Engine.Remember(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
+		return errors.Join(g.Engine.Restore(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
 	}
 	// Mark it as used before anything is sent: a later start must not take it for the last word of this life.
 	clean, quiet := st.Clean, st.Clean && st.Quiet
@@ -85,9 +85,9 @@
 	g.mu.Lock()
 	g.members.Restore(g.Engine.Now(), known)
 	g.mu.Unlock()
-	if err := g.Engine.Remember(&memory, !quiet); err != nil {
+	if err := g.Engine.Restore(&memory, !quiet); err != nil {
 		log.Warn("started without", zap.Error(err))
-		return g.Engine.Remember(nil, true)
+		return g.Engine.Restore(nil, true)
 	}
 	log.Info("remembered", zap.Duration("age", time.Duration(age)*time.Microsecond), zap.Bool("exact", how == recall.Exact),
 		zap.Bool("ended by itself", clean), zap.Int("nodes", len(memory.Nodes)), zap.Int("volumes", len(memory.Volumes)))
