--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -88,7 +88,7 @@
 
 // RememberMark restores a mark of an earlier process. It must be called before any event.
 func (e *Engine) RememberMark(m Mark) (err error) {
-	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberMark(m) })
+	e.loop.WithLock(func(logic.Micros) { err = e.core.RestoreMark(m) })
 	return err
 }
 
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -346,8 +346,8 @@
 	c.applyMirrorActions(now, at)
 }
 
-// RememberMark restores a mark of an earlier process. It must be called before any event.
-func (c *Core) RememberMark(m Mark) error {
+// RestoreMark restores a mark of an earlier process. It must be called before any event.
+func (c *Core) RestoreMark(m Mark) error {
 	at := c.volumes[m.Volume].mirrors[m.Extent]
 	if err := at.RestoreMark(m.Mark); err != nil {
 		return err
--- a/internal/engine/mirror_test.go
+++ b/internal/engine/mirror_test.go
@@ -266,7 +266,7 @@
 	}
 	for at, lead := range p.marks {
 		at.Lead = lead
-		if err := p.c.RememberMark(at); err != nil {
+		if err := p.c.RestoreMark(at); err != nil {
 			p.Fatal(err)
 		}
 	}
