--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -86,8 +86,8 @@
 // Kept reports whether a mark has reached stable storage.
 func (e *Engine) Kept(m Mark, ok bool) { e.loop.Post(input{kind: markKept, mark: m, ok: ok}) }
 
-// RememberMark restores a mark of an earlier process. It must be called before any event.
-func (e *Engine) RememberMark(m Mark) (err error) {
+// RestoreMark restores a mark of an earlier process. It must be called before any event.
+func (e *Engine) RestoreMark(m Mark) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.RestoreMark(m) })
 	return err
 }
--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -87,7 +87,7 @@
 		m.log.Warn("a mark is of a volume that the settings do not have; it is kept", zap.Uint64("volume", r.Volume))
 	}
 	for _, k := range found.Marks {
-		if err := m.engine.RememberMark(k); err != nil {
+		if err := m.engine.RestoreMark(k); err != nil {
 			return err
 		}
 	}
