--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -201,9 +201,9 @@
 	return rows, c.budget.Snapshot(now)
 }
 
-// RememberCrossing restores the ledger and the crossing budget of an earlier process. Age is the time since they were
+// RestoreCrossing restores the ledger and the crossing budget of an earlier process. Age is the time since they were
 // saved, 0 if unknown: then the budget has gained nothing since. The budget starts empty if m is nil.
-func (c *Core) RememberCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) error {
+func (c *Core) RestoreCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) error {
 	for _, r := range rows {
 		row := r
 		c.ledger[ledgerKey{r.Volume, r.Class, r.Zone, r.Reason}] = &row
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -159,7 +159,7 @@
 // RememberCrossing restores the ledger and the crossing budget of an earlier process. It must be called before any
 // event.
 func (e *Engine) RememberCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) (err error) {
-	e.loop.WithLock(func(logic.Micros) { err = e.core.RememberCrossing(rows, m, age) })
+	e.loop.WithLock(func(logic.Micros) { err = e.core.RestoreCrossing(rows, m, age) })
 	return err
 }
 
