--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -156,9 +156,9 @@
 	return rows, m
 }
 
-// RememberCrossing restores the ledger and the crossing budget of an earlier process. It must be called before any
+// RestoreCrossing restores the ledger and the crossing budget of an earlier process. It must be called before any
 // event.
-func (e *Engine) RememberCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) (err error) {
+func (e *Engine) RestoreCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.RestoreCrossing(rows, m, age) })
 	return err
 }
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -25,7 +25,7 @@
 func (g *Gateway) recall() error {
 	dir := g.cfg.State.Dir
 	if dir == "" {
-		return errors.Join(g.Engine.Restore(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
+		return errors.Join(g.Engine.Restore(nil, true), g.Engine.RestoreCrossing(nil, nil, 0))
 	}
 	store, err := state.Open(dir, fmt.Sprintf("gateway %s, process %d", g.cfg.Name, os.Getpid()))
 	if err != nil {
@@ -38,7 +38,7 @@
 		log.Warn("started without", zap.Error(err))
 	}
 	if st == nil {
-		return errors.Join(g.Engine.Restore(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
+		return errors.Join(g.Engine.Restore(nil, true), g.Engine.RestoreCrossing(nil, nil, 0))
 	}
 	// Mark it as used before anything is sent: a later start must not take it for the last word of this life.
 	clean, quiet := st.Clean, st.Clean && st.Quiet
@@ -70,7 +70,7 @@
 		budget = nil // what was spent since is not known
 	}
 	g.history.Restore(st.History, st.Crossed)
-	if err := g.Engine.RememberCrossing(rows, budget, age); err != nil {
+	if err := g.Engine.RestoreCrossing(rows, budget, age); err != nil {
 		log.Warn("crossing", zap.Error(err))
 	}
 	memory := recall.Fade(st.Logic, age, how, recall.LimitsUsable(clean, marked, how))
