--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -178,8 +178,8 @@
 	return c.tally.Ops == 0 && c.tally.Attempts == 0
 }
 
-// Learned returns a snapshot of what the core has learned.
-func (c *Core) Learned(now logic.Micros) logic.Snapshot { return c.host.Snapshot(now) }
+// Snapshot returns a snapshot of what the core has learned.
+func (c *Core) Snapshot(now logic.Micros) logic.Snapshot { return c.host.Snapshot(now) }
 
 // Memory returns the semaphore that bounds a volume's buffers. Fronts acquire from it for the requests that they
 // accept.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -171,7 +171,7 @@
 
 // Learned returns a snapshot of what has been learned, and the time of the snapshot.
 func (e *Engine) Learned() (m logic.Snapshot, now logic.Micros) {
-	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Learned(at), at })
+	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Snapshot(at), at })
 	return m, now
 }
 
