--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -169,8 +169,8 @@
 	return quiet
 }
 
-// Learned returns a snapshot of what has been learned, and the time of the snapshot.
-func (e *Engine) Learned() (m logic.Snapshot, now logic.Micros) {
+// Snapshot returns a snapshot of what has been learned, and the time of the snapshot.
+func (e *Engine) Snapshot() (m logic.Snapshot, now logic.Micros) {
 	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Snapshot(at), at })
 	return m, now
 }
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -129,7 +129,7 @@
 }
 
 func (g *Gateway) snapshot(clean, quiet bool) *state.State {
-	m, now := g.Engine.Learned()
+	m, now := g.Engine.Snapshot()
 	rows, budget := g.Engine.Crossing()
 	st := &state.State{Gateway: g.cfg.Name, Written: state.Now(), Clean: clean, Quiet: quiet, Logic: m, Budget: &budget}
 	for _, r := range rows {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -142,7 +142,7 @@
 	}
 	g, stop := start(t, f.Settings[0])
 	serve()
-	m, _ := g.Engine.Learned()
+	m, _ := g.Engine.Snapshot()
 	if m.Unit == 0 || len(m.Volumes) != 1 {
 		t.Fatalf("nothing was learned: %+v", m)
 	}
@@ -151,7 +151,7 @@
 	}
 	stop(false)
 	g, stop = start(t, f.Settings[0])
-	again, _ := g.Engine.Learned()
+	again, _ := g.Engine.Snapshot()
 	if again.Unit != m.Unit && again.Unit == 0 || len(again.Nodes) != 2 || len(again.Volumes) != 1 {
 		t.Errorf("after a restart: %+v, was %+v", again, m)
 	}
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -152,7 +152,7 @@
 		if n := next.Rings.Unanswered(); n < 0 || n > 3 {
 			t.Errorf("%d answers are owed to clients that ask 3 at a time", n)
 		}
-		if m, _ := next.Engine.Learned(); m.Unit == 0 {
+		if m, _ := next.Engine.Snapshot(); m.Unit == 0 {
 			t.Error("what was learned did not go along")
 		}
 		g, stop = next, func(bool) {
