--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -181,9 +181,9 @@
 	return t
 }
 
-// Drained waits until no op is held or ctx ends. Fronts must have stopped accepting requests. No fill is started from
+// Drain waits until no op is held or ctx ends. Fronts must have stopped accepting requests. No fill is started from
 // then on.
-func (e *Engine) Drained(ctx context.Context) error {
+func (e *Engine) Drain(ctx context.Context) error {
 	e.loop.WithLock(func(logic.Micros) {
 		e.draining = true
 		e.core.StopFills()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -206,7 +206,7 @@
 	defer stopCut()
 	stopFiles()
 	davs.Wait() // what is under way still takes
-	err := g.Engine.Drained(drain)
+	err := g.Engine.Drain(drain)
 	for err == nil && g.Rings.Unanswered() > 0 { // answers on their way to the clients' rings
 		pause(drain, time.Millisecond)
 		err = drain.Err()
