--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -31,7 +31,7 @@
 		for _, a := range c.Step(now) {
 			if a.Kind == Start {
 				now += 100
-				c.Ended(now, a.Attempt, block.Result{Outcome: logic.OK, Load: logic.NoLoad})
+				c.AttemptEnded(now, a.Attempt, block.Result{Outcome: logic.OK, Load: logic.NoLoad})
 			}
 		}
 		for _, a := range c.Step(now) {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -341,8 +341,8 @@
 	}
 }
 
-// Ended reports the end of an attempt, as the back delivers it.
-func (c *Core) Ended(now logic.Micros, b *block.Attempt, r block.Result) {
+// AttemptEnded reports the end of an attempt, as the back delivers it.
+func (c *Core) AttemptEnded(now logic.Micros, b *block.Attempt, r block.Result) {
 	a := b.Owner.(*attempt)
 	c.settleTransfer(now, a, r)
 	if c.host.MarkEnded(&a.drive) {
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -153,7 +153,7 @@
 					cl.mayHaveRun, cl.pieces[x.piece] = true, true
 				}
 			}
-			core.Ended(w.now, a, block.Result{Outcome: o, Load: logic.NoLoad})
+			core.AttemptEnded(w.now, a, block.Result{Outcome: o, Load: logic.NoLoad})
 			w.step()
 		}
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -76,7 +76,7 @@
 	}
 	a := h.outstanding[0]
 	h.outstanding = h.outstanding[1:]
-	h.c.Ended(h.now, a, block.Result{Outcome: o, Load: logic.NoLoad, BytesOut: out, BytesIn: in})
+	h.c.AttemptEnded(h.now, a, block.Result{Outcome: o, Load: logic.NoLoad, BytesOut: out, BytesIn: in})
 	h.advance(0)
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -210,7 +210,7 @@
 			e.core.Gone(now, in.op)
 			e.abandoned = append(e.abandoned, in.op)
 		case attemptEnded:
-			e.core.Ended(now, in.attempt, in.result)
+			e.core.AttemptEnded(now, in.attempt, in.result)
 		case nodesChanged:
 			e.core.Nodes(now, in.nodes)
 		case spaceFreed:
--- a/internal/engine/mirror_test.go
+++ b/internal/engine/mirror_test.go
@@ -214,7 +214,7 @@
 	if executed {
 		p.execute(a)
 	}
-	p.c.Ended(p.now, a, block.Result{Outcome: o, Load: logic.NoLoad})
+	p.c.AttemptEnded(p.now, a, block.Result{Outcome: o, Load: logic.NoLoad})
 	p.step()
 }
 
@@ -443,7 +443,7 @@
 			for _, a := range c.Step(now) {
 				switch a.Kind {
 				case Start:
-					c.Ended(now, a.Attempt, block.Result{Outcome: logic.OK, Load: logic.NoLoad})
+					c.AttemptEnded(now, a.Attempt, block.Result{Outcome: logic.OK, Load: logic.NoLoad})
 				case Keep:
 					c.Kept(now, a.Mark, true)
 				case Finish:
