--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -318,8 +318,8 @@
 	c.host.AddEvent(a)
 }
 
-// Gone reports that the client of a request has left. Attempts in flight go on as logic decides.
-func (c *Core) Gone(now logic.Micros, op *Op) {
+// ClientGone reports that the client of a request has left. Attempts in flight go on as logic decides.
+func (c *Core) ClientGone(now logic.Micros, op *Op) {
 	if op.answered || op.clientGone {
 		return
 	}
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -184,7 +184,7 @@
 			case k < 8 && len(w.live) > 0:
 				for op := range w.live { // an arbitrary one
 					delete(w.live, op)
-					core.Gone(w.now, op)
+					core.ClientGone(w.now, op)
 					op.Release()
 					break
 				}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -207,7 +207,7 @@
 		case requestTaken:
 			e.core.Take(now, in.op)
 		case clientGone:
-			e.core.Gone(now, in.op)
+			e.core.ClientGone(now, in.op)
 			e.abandoned = append(e.abandoned, in.op)
 		case attemptEnded:
 			e.core.AttemptEnded(now, in.attempt, in.result)
--- a/internal/engine/mirror_test.go
+++ b/internal/engine/mirror_test.go
@@ -279,7 +279,7 @@
 // clientGone makes the client of a request leave.
 func (p *fakeNodes) clientGone(r *pendingRequest) {
 	p.removeRequest(r)
-	p.c.Gone(p.now, r.op)
+	p.c.ClientGone(p.now, r.op)
 	r.op.Release()
 	p.step()
 }
