--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -110,7 +110,7 @@
 }
 
 // Mirrors returns the state of the copies of all mirrored extents.
-func (e *Engine) Mirrors() (m []Mirrored) {
+func (e *Engine) Mirrors() (m []MirrorStatus) {
 	e.loop.WithLock(func(logic.Micros) { m = e.core.Mirrors() })
 	return m
 }
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -359,8 +359,8 @@
 // StopFills stops starting fills. Fills in progress go on.
 func (c *Core) StopFills() { c.mirrors.fillsStopped = true }
 
-// Mirrored is the state of the copies of a mirrored extent.
-type Mirrored struct {
+// MirrorStatus is the state of the copies of a mirrored extent.
+type MirrorStatus struct {
 	Volume, Extent int
 	Stale          int // number of regions with a stale copy
 	Whole          []bool
@@ -368,13 +368,13 @@
 }
 
 // Mirrors returns the state of the copies of all mirrored extents.
-func (c *Core) Mirrors() (out []Mirrored) {
+func (c *Core) Mirrors() (out []MirrorStatus) {
 	for i := range c.volumes {
 		for j, m := range c.volumes[i].mirrors {
 			if m == nil {
 				continue
 			}
-			at := Mirrored{Volume: i, Extent: j, Stale: m.Stale(), Tally: m.Tally}
+			at := MirrorStatus{Volume: i, Extent: j, Stale: m.Stale(), Tally: m.Tally}
 			for k := range m.extent.Copies {
 				at.Whole = append(at.Whole, m.UpToDate(k))
 			}
