--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -77,7 +77,7 @@
 	nodes        map[logic.NodeID]logic.Node
 	localCells   map[int]bool // cells with a ready node in this gateway's zone
 	readyCells   map[int]bool // cells with a ready node
-	ledger       map[ledgerKey]*Crossed
+	ledger       map[ledgerKey]*CrossingRow
 	mirrors      mirrorState
 }
 
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	c := &Core{cfg: cfg, host: drive.Host{Host: host}, pieces: map[logic.RequestID]*piece{}, keyNonce: nonce << 32, budget: budget,
-		nodes: map[logic.NodeID]logic.Node{}, localCells: map[int]bool{}, readyCells: map[int]bool{}, ledger: map[ledgerKey]*Crossed{}}
+		nodes: map[logic.NodeID]logic.Node{}, localCells: map[int]bool{}, readyCells: map[int]bool{}, ledger: map[ledgerKey]*CrossingRow{}}
 	lastKey := uint64(0)
 	for i := range cfg.Volumes {
 		v := &cfg.Volumes[i]
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -36,8 +36,8 @@
 	reason Reason
 }
 
-// Crossed is a row of the ledger. It counts bytes on the connections, headers included.
-type Crossed struct {
+// CrossingRow is a row of the ledger. It counts bytes on the connections, headers included.
+type CrossingRow struct {
 	Volume   uint64
 	Class    int
 	Zone     int // of the node
@@ -91,10 +91,10 @@
 }
 
 // ledgerRow returns the row of the ledger for a key, and adds it if there is none.
-func (c *Core) ledgerRow(k ledgerKey) *Crossed {
+func (c *Core) ledgerRow(k ledgerKey) *CrossingRow {
 	row := c.ledger[k]
 	if row == nil {
-		row = &Crossed{Volume: k.volume, Class: k.class, Zone: k.zone, Reason: k.reason}
+		row = &CrossingRow{Volume: k.volume, Class: k.class, Zone: k.zone, Reason: k.reason}
 		c.ledger[k] = row
 	}
 	return row
@@ -191,11 +191,11 @@
 }
 
 // Crossing returns a copy of the ledger, sorted, and the state of the budget.
-func (c *Core) Crossing(now logic.Micros) (rows []Crossed, m crossing.Snapshot) {
+func (c *Core) Crossing(now logic.Micros) (rows []CrossingRow, m crossing.Snapshot) {
 	for _, r := range c.ledger {
 		rows = append(rows, *r)
 	}
-	slices.SortFunc(rows, func(a, b Crossed) int {
+	slices.SortFunc(rows, func(a, b CrossingRow) int {
 		return cmp.Or(cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Reason, b.Reason))
 	})
 	return rows, c.budget.Snapshot(now)
@@ -203,7 +203,7 @@
 
 // RestoreCrossing restores the ledger and the crossing budget of an earlier process. Age is the time since they were
 // saved, 0 if unknown: then the budget has gained nothing since. The budget starts empty if m is nil.
-func (c *Core) RestoreCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) error {
+func (c *Core) RestoreCrossing(rows []CrossingRow, m *crossing.Snapshot, age logic.Micros) error {
 	for _, r := range rows {
 		row := r
 		c.ledger[ledgerKey{r.Volume, r.Class, r.Zone, r.Reason}] = &row
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -151,14 +151,14 @@
 }
 
 // Crossing returns the ledger of the bytes that crossed zones and the state of the crossing budget.
-func (e *Engine) Crossing() (rows []Crossed, m crossing.Snapshot) {
+func (e *Engine) Crossing() (rows []CrossingRow, m crossing.Snapshot) {
 	e.loop.WithLock(func(now logic.Micros) { rows, m = e.core.Crossing(now) })
 	return rows, m
 }
 
 // RestoreCrossing restores the ledger and the crossing budget of an earlier process. It must be called before any
 // event.
-func (e *Engine) RestoreCrossing(rows []Crossed, m *crossing.Snapshot, age logic.Micros) (err error) {
+func (e *Engine) RestoreCrossing(rows []CrossingRow, m *crossing.Snapshot, age logic.Micros) (err error) {
 	e.loop.WithLock(func(logic.Micros) { err = e.core.RestoreCrossing(rows, m, age) })
 	return err
 }
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -61,9 +61,9 @@
 	if complaint != "" {
 		log.Warn("how old it is cannot be told; most of it counts for nothing", zap.String("complaint", complaint))
 	}
-	var rows []engine.Crossed
+	var rows []engine.CrossingRow
 	for _, r := range st.Crossed {
-		rows = append(rows, engine.Crossed{Volume: r.Volume, Class: r.Class, Zone: r.Zone, Reason: engine.Reason(r.Reason), Attempts: r.Attempts, Out: r.Out, In: r.In})
+		rows = append(rows, engine.CrossingRow{Volume: r.Volume, Class: r.Class, Zone: r.Zone, Reason: engine.Reason(r.Reason), Attempts: r.Attempts, Out: r.Out, In: r.In})
 	}
 	budget := st.Budget
 	if !recall.LimitsUsable(clean, marked, how) {
