--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -14,7 +14,7 @@
 type Reason uint8
 
 const (
-	AtHome     Reason = iota // the node is in this gateway's zone
+	LocalZone  Reason = iota // the node is in this gateway's zone
 	NoCopyHere               // a first attempt at data of which no copy lies in this zone
 	Again                    // a retry
 	TooLate                  // an attempt that ended after it had been given up
@@ -139,7 +139,7 @@
 // settleTransfer settles an attempt's bytes with the budget and the ledger. An unknown zone counts as a foreign one.
 func (c *Core) settleTransfer(now logic.Micros, a *attempt, r block.Result) {
 	n, known := c.nodes[a.Node]
-	k := ledgerKey{c.cfg.Volumes[a.volume].ID, a.class, n.Zone, AtHome}
+	k := ledgerKey{c.cfg.Volumes[a.volume].ID, a.class, n.Zone, LocalZone}
 	if !known {
 		n.Zone = -1
 	}
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -103,14 +103,14 @@
 	check := func(h *manualDriver, want map[Reason]int64) {
 		t.Helper()
 		got := h.bytesByReason()
-		for r := AtHome; r <= Withheld; r++ {
+		for r := LocalZone; r <= Withheld; r++ {
 			if got[r] != want[r] {
 				t.Errorf("%v: %d bytes, want %d (%v)", r, got[r], want[r], got)
 			}
 		}
 		crossed := int64(0)
 		for r, n := range want {
-			if r != AtHome && r != Withheld {
+			if r != LocalZone && r != Withheld {
 				crossed += n
 			}
 		}
@@ -123,14 +123,14 @@
 		h.request(block.Write, 0, 4096)
 		h.end(logic.OK, 4200, 30)
 		h.end(logic.OK, 4210, 40)
-		check(h, map[Reason]int64{AtHome: 4230, Copied: 4250})
+		check(h, map[Reason]int64{LocalZone: 4230, Copied: 4250})
 	})
 	t.Run("repeat after an attempt at home", func(t *testing.T) {
 		h := newManualDriver(t, cfg)
 		h.request(block.Read, 0, 4096)
 		h.end(logic.Failed, 72, 24)
 		h.end(logic.OK, 72, 4130)
-		check(h, map[Reason]int64{AtHome: 96, Again: 4202})
+		check(h, map[Reason]int64{LocalZone: 96, Again: 4202})
 	})
 	t.Run("no copy here", func(t *testing.T) {
 		h := newManualDriver(t, cfg)
@@ -161,7 +161,7 @@
 		if m := h.c.Mirrors(); m[0].Stale != 0 {
 			t.Fatalf("%+v", m)
 		}
-		check(h, map[Reason]int64{AtHome: 4230 + 4202, Moved: 4230})
+		check(h, map[Reason]int64{LocalZone: 4230 + 4202, Moved: 4230})
 	})
 	t.Run("withheld", func(t *testing.T) {
 		small := *cfg
@@ -202,14 +202,14 @@
 	h.setNode(2, 0, logic.Ready)
 	read(h)
 	read(h)
-	if got := h.bytesByReason(); got[NoCopyHere] != 4202 || got[AtHome] != 2*4202 {
+	if got := h.bytesByReason(); got[NoCopyHere] != 4202 || got[LocalZone] != 2*4202 {
 		t.Errorf("%v", got)
 	}
 	without := *cfg
 	without.Logic.Zone = -1
 	h = newManualDriver(t, &without)
 	read(h)
-	if got := h.bytesByReason(); got[AtHome] != 4202 || len(got) != 1 {
+	if got := h.bytesByReason(); got[LocalZone] != 4202 || len(got) != 1 {
 		t.Errorf("gateway without a zone: %v", got)
 	}
 }
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -53,7 +53,7 @@
 			for _, r := range rows {
 				sum[r.Zone] += r.Out + r.In
 				attempts += r.Attempts
-				if (r.Zone == 0) != (r.Reason == engine.AtHome) {
+				if (r.Zone == 0) != (r.Reason == engine.LocalZone) {
 					t.Errorf("zone %d with reason %v", r.Zone, r.Reason)
 				}
 			}
--- a/internal/gateway/lostzone_test.go
+++ b/internal/gateway/lostzone_test.go
@@ -119,7 +119,7 @@
 			for _, g := range gws {
 				rows, _ := g.Engine.Crossing()
 				for _, r := range rows {
-					if r.Reason != engine.AtHome && r.Reason != engine.Withheld {
+					if r.Reason != engine.LocalZone && r.Reason != engine.Withheld {
 						sum += r.Out + r.In
 					}
 				}
@@ -151,7 +151,7 @@
 	crossed = map[int]int64{}
 	rows, _ := gws[0].Engine.Crossing()
 	for _, r := range rows {
-		if r.Reason != engine.AtHome && r.Reason != engine.Withheld {
+		if r.Reason != engine.LocalZone && r.Reason != engine.Withheld {
 			crossed[r.Class] += r.Out + r.In
 		}
 	}
--- a/internal/report/crossing.go
+++ b/internal/report/crossing.go
@@ -47,7 +47,7 @@
 		for _, c := range counts {
 			why := engine.Reason(c.Reason)
 			r := Row{From: from, Class: fmt.Sprint("class ", c.Class), Plan: "?", Volume: fmt.Sprint("volume ", c.Volume), Zone: cfg.Logic.Zone, To: c.Zone,
-				Reason: why.String(), Home: why == engine.AtHome, Withheld: why == engine.Withheld, Attempts: c.Attempts, Out: c.Out, In: c.In}
+				Reason: why.String(), Home: why == engine.LocalZone, Withheld: why == engine.Withheld, Attempts: c.Attempts, Out: c.Out, In: c.In}
 			if c.Class >= 0 && c.Class < len(cfg.Classes) {
 				r.Class = cfg.Classes[c.Class]
 			}
