--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -16,7 +16,7 @@
 const (
 	LocalZone  Reason = iota // the node is in this gateway's zone
 	NoCopyHere               // a first attempt at data of which no copy lies in this zone
-	Again                    // a retry
+	Retry                    // a retry
 	TooLate                  // an attempt that ended after it had been given up
 	Spill                    // a read that a copy in this zone would have answered too late
 	Copied                   // a change sent to one of several copies
@@ -127,7 +127,7 @@
 	case p.op.fill != nil:
 		return Moved
 	case p.attempts > 0:
-		return Again
+		return Retry
 	case p.change != nil:
 		return Copied
 	case p.route.CrossesZones:
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -130,7 +130,7 @@
 		h.request(block.Read, 0, 4096)
 		h.end(logic.Failed, 72, 24)
 		h.end(logic.OK, 72, 4130)
-		check(h, map[Reason]int64{LocalZone: 96, Again: 4202})
+		check(h, map[Reason]int64{LocalZone: 96, Retry: 4202})
 	})
 	t.Run("no copy here", func(t *testing.T) {
 		h := newManualDriver(t, cfg)
