--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -14,14 +14,14 @@
 type Reason uint8
 
 const (
-	LocalZone  Reason = iota // the node is in this gateway's zone
-	NoCopyHere               // a first attempt at data of which no copy lies in this zone
-	Retry                    // a retry
-	TooLate                  // an attempt that ended after it had been given up
-	Spill                    // a read that a copy in this zone would have answered too late
-	Copied                   // a change sent to one of several copies
-	Moved                    // catching up a stale copy
-	Withheld                 // not sent because the budget refused it; counted by its estimated bytes
+	LocalZone      Reason = iota // the node is in this gateway's zone
+	NoCopyHere                   // a first attempt at data of which no copy lies in this zone
+	Retry                        // a retry
+	TooLate                      // an attempt that ended after it had been given up
+	Spill                        // a read that a copy in this zone would have answered too late
+	MirroredChange               // a change sent to one of several copies
+	Moved                        // catching up a stale copy
+	Withheld                     // not sent because the budget refused it; counted by its estimated bytes
 )
 
 func (r Reason) String() string {
@@ -129,7 +129,7 @@
 	case p.attempts > 0:
 		return Retry
 	case p.change != nil:
-		return Copied
+		return MirroredChange
 	case p.route.CrossesZones:
 		return Spill
 	}
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -123,7 +123,7 @@
 		h.request(block.Write, 0, 4096)
 		h.end(logic.OK, 4200, 30)
 		h.end(logic.OK, 4210, 40)
-		check(h, map[Reason]int64{LocalZone: 4230, Copied: 4250})
+		check(h, map[Reason]int64{LocalZone: 4230, MirroredChange: 4250})
 	})
 	t.Run("repeat after an attempt at home", func(t *testing.T) {
 		h := newManualDriver(t, cfg)
