--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -20,7 +20,7 @@
 	TooLate                      // an attempt that ended after it had been given up
 	Spill                        // a read that a copy in this zone would have answered too late
 	MirroredChange               // a change sent to one of several copies
-	Moved                        // catching up a stale copy
+	CatchUp                      // catching up a stale copy
 	Withheld                     // not sent because the budget refused it; counted by its estimated bytes
 )
 
@@ -125,7 +125,7 @@
 func (c *Core) attemptReason(p *piece) Reason {
 	switch {
 	case p.op.fill != nil:
-		return Moved
+		return CatchUp
 	case p.attempts > 0:
 		return Retry
 	case p.change != nil:
--- a/internal/engine/crossed_test.go
+++ b/internal/engine/crossed_test.go
@@ -161,7 +161,7 @@
 		if m := h.c.Mirrors(); m[0].Stale != 0 {
 			t.Fatalf("%+v", m)
 		}
-		check(h, map[Reason]int64{LocalZone: 4230 + 4202, Moved: 4230})
+		check(h, map[Reason]int64{LocalZone: 4230 + 4202, CatchUp: 4230})
 	})
 	t.Run("withheld", func(t *testing.T) {
 		small := *cfg
