--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -206,7 +206,7 @@
 	// free capacity.
 	op.hasAnswer, op.answer = op.Ran, ranges.Served
 	op.Class, _ = v.Class(op.Kind, op.Len)
-	deadline := now + cmp.Or(op.Left, c.cfg.Logic.Classes[op.Class].Deadline) - c.cfg.Times.AnswerMargin
+	deadline := now + cmp.Or(op.TimeLeft, c.cfg.Logic.Classes[op.Class].Deadline) - c.cfg.Times.AnswerMargin
 	op.unanswered, op.unreleased = 1, 1 // held until all parts exist, so that no part ends the op early
 	if op.Fresh {
 		c.beginObject(now, op, v, deadline)
