--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -204,7 +204,7 @@
 	// A request that may have run in an earlier process counts as having one served part, since a refusal of the rest
 	// would promise too much. This guards against a request that is resumed after a restart and then finds no node with
 	// free capacity.
-	op.hasAnswer, op.answer = op.Ran, ranges.Served
+	op.hasAnswer, op.answer = op.MayHaveRun, ranges.Served
 	op.Class, _ = v.Class(op.Kind, op.Len)
 	deadline := now + cmp.Or(op.TimeLeft, c.cfg.Logic.Classes[op.Class].Deadline) - c.cfg.Times.AnswerMargin
 	op.unanswered, op.unreleased = 1, 1 // held until all parts exist, so that no part ends the op early
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -234,7 +234,7 @@
 			t.Fatal(err)
 		}
 		op := NewOp()
-		op.Kind, op.Len, op.Ran, op.Front = c.kind, 512, c.ran, discardFront{}
+		op.Kind, op.Len, op.MayHaveRun, op.Front = c.kind, 512, c.ran, discardFront{}
 		core.Take(1_000_000, op)
 		answered := false
 		for _, a := range core.Step(1_000_000) {
--- a/internal/front/ring/vring.go
+++ b/internal/front/ring/vring.go
@@ -398,7 +398,7 @@
 	if err != nil {
 		return err
 	}
-	op.Key, op.TimeLeft, op.Ran = x.key, left, x.taken.Sent || !x.taken.Known
+	op.Key, op.TimeLeft, op.MayHaveRun = x.key, left, x.taken.Sent || !x.taken.Known
 	if err := r.claim(x.head, op, p.wantsAdvice, false); err != nil {
 		op.Release()
 		op.Release()
