--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -208,7 +208,7 @@
 	op.Class, _ = v.Class(op.Kind, op.Len)
 	deadline := now + cmp.Or(op.TimeLeft, c.cfg.Logic.Classes[op.Class].Deadline) - c.cfg.Times.AnswerMargin
 	op.unanswered, op.unreleased = 1, 1 // held until all parts exist, so that no part ends the op early
-	if op.Fresh {
+	if op.NewObject {
 		c.beginObject(now, op, v, deadline)
 	} else if op.Kind == block.Flush { // one per namespace; mirrored changes are durable already
 		for i := range v.Extents {
--- a/internal/engine/object_test.go
+++ b/internal/engine/object_test.go
@@ -60,7 +60,7 @@
 			p.start(rapid.Uint64().Draw(t, "seed"))
 			coin := func() bool { return rapid.Bool().Draw(t, "lands") }
 			p.done = func(op *Op, r *pendingRequest) {
-				if op.Verdict == block.Served && op.Fresh {
+				if op.Verdict == block.Served && op.NewObject {
 					served++
 					if op.Offset < 96<<10 || op.Offset >= 160<<10 {
 						home++
@@ -82,7 +82,7 @@
 				switch k := rapid.IntRange(0, 19).Draw(t, "what"); {
 				case k < 7:
 					op := NewOp()
-					op.Kind, op.Fresh, op.Len, op.Front = block.Write, true, rapid.Int64Range(1, 40).Draw(t, "blocks")*512, p
+					op.Kind, op.NewObject, op.Len, op.Front = block.Write, true, rapid.Int64Range(1, 40).Draw(t, "blocks")*512, p
 					op.Buffer = block.NewBuffer(op.Len, nil)
 					p.lastValue++
 					for i := range op.Len / 512 {
@@ -157,7 +157,7 @@
 	h := newManualDriver(t, cfg)
 	write := func(n int64) *Op {
 		op := NewOp()
-		op.Kind, op.Fresh, op.Len, op.Front, op.Buffer = block.Write, true, n, h, block.NewBuffer(n, nil)
+		op.Kind, op.NewObject, op.Len, op.Front, op.Buffer = block.Write, true, n, h, block.NewBuffer(n, nil)
 		h.c.Take(h.now, op)
 		h.advance(0)
 		return op
--- a/internal/engine/op.go
+++ b/internal/engine/op.go
@@ -31,7 +31,7 @@
 	Key        uint64       // idempotency key by which nodes discard duplicates, also across processes; 0: the engine chooses one
 	TimeLeft   logic.Micros // time left until the client's deadline; 0: the deadline of its class
 	MayHaveRun bool         // an attempt of an earlier process may have run
-	Fresh      bool         // a write of a new object; the engine sets Offset when it is served
+	NewObject  bool         // a write of a new object; the engine sets Offset when it is served
 	Front      Front
 	Tag        uint64 // for the front's own use
 
@@ -79,7 +79,7 @@
 		op.pieces[i] = nil
 	}
 	op.Buffer.Release()
-	op.Volume, op.Kind, op.Offset, op.Len, op.Buffer, op.Durable, op.Key, op.TimeLeft, op.MayHaveRun, op.Fresh, op.Front, op.Tag = 0, 0, 0, 0, nil, false, 0, 0, false, false, nil, 0
+	op.Volume, op.Kind, op.Offset, op.Len, op.Buffer, op.Durable, op.Key, op.TimeLeft, op.MayHaveRun, op.NewObject, op.Front, op.Tag = 0, 0, 0, 0, nil, false, 0, 0, false, false, nil, 0
 	op.Verdict, op.CoolDown, op.Class, op.Took, op.NoRoom, op.Limited, op.takenAt = 0, 0, 0, 0, false, false, 0
 	op.unanswered, op.unreleased, op.answer, op.hasAnswer, op.clientGone, op.answered = 0, 0, 0, false, false, false
 	op.pieces = op.pieces[:0]
--- a/internal/front/dav/io.go
+++ b/internal/front/dav/io.go
@@ -289,7 +289,7 @@
 				break
 			}
 			clear(op.Buffer.B[copy(op.Buffer.B, data[:n]):])
-			op.Fresh, op.Durable = true, true
+			op.NewObject, op.Durable = true, true
 			pending = append(pending, pendingWrite{t.submit(op), int64(n)})
 			if len(pending) > 1 {
 				err = awaitFirst()
