--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -580,7 +580,7 @@
 	op.Verdict = verdicts[op.answer]
 	if op.Verdict != block.Refused {
 		op.CoolDown = 0
-	} else if v := &c.volumes[op.Volume]; !op.NoRoom {
+	} else if v := &c.volumes[op.Volume]; !op.NoSpace {
 		op.Limited = c.host.Limited(logic.VolumeID(v.Account), v.Units(op.Len))
 	}
 	op.Took = now - op.takenAt
--- a/internal/engine/object.go
+++ b/internal/engine/object.go
@@ -60,7 +60,7 @@
 	}
 	var err error
 	if p.object.ObjectPlacement, err = placing.PlaceObject(cells, c.cfg.Logic.Zone, op.Len); err != nil {
-		op.NoRoom = true
+		op.NoSpace = true
 		c.answerPiece(now, p, ranges.Refused, 0)
 		return
 	}
--- a/internal/engine/object_test.go
+++ b/internal/engine/object_test.go
@@ -162,8 +162,8 @@
 		h.advance(0)
 		return op
 	}
-	if op := write(65 << 10); len(h.answered) != 1 || !op.NoRoom || op.Verdict != block.Refused {
-		t.Fatalf("larger than any slab: %d answers, NoRoom %v", len(h.answered), op.NoRoom)
+	if op := write(65 << 10); len(h.answered) != 1 || !op.NoSpace || op.Verdict != block.Refused {
+		t.Fatalf("larger than any slab: %d answers, NoRoom %v", len(h.answered), op.NoSpace)
 	}
 	write(64 << 10) // in this zone only cell 0 has space
 	if len(h.outstanding) != 1 || h.outstanding[0].Node != 1 || h.outstanding[0].Namespace != 1 {
@@ -175,7 +175,7 @@
 		t.Fatalf("%+v", h.outstanding)
 	}
 	h.end(logic.OK, 0, 0)
-	if op := write(64 << 10); !op.NoRoom {
+	if op := write(64 << 10); !op.NoSpace {
 		t.Fatal("space was found though there is none")
 	}
 }
--- a/internal/engine/op.go
+++ b/internal/engine/op.go
@@ -40,7 +40,7 @@
 	CoolDown logic.Micros // refused: delay after which a retry may succeed; 0: no advice
 	Class    int
 	Took     logic.Micros
-	NoRoom   bool // refused: no cell has space for the object
+	NoSpace  bool // refused: no cell has space for the object
 	Limited  bool // refused: the plan's limit is exceeded
 
 	refs       atomic.Int32
@@ -80,7 +80,7 @@
 	}
 	op.Buffer.Release()
 	op.Volume, op.Kind, op.Offset, op.Len, op.Buffer, op.Durable, op.Key, op.TimeLeft, op.MayHaveRun, op.NewObject, op.Front, op.Tag = 0, 0, 0, 0, nil, false, 0, 0, false, false, nil, 0
-	op.Verdict, op.CoolDown, op.Class, op.Took, op.NoRoom, op.Limited, op.takenAt = 0, 0, 0, 0, false, false, 0
+	op.Verdict, op.CoolDown, op.Class, op.Took, op.NoSpace, op.Limited, op.takenAt = 0, 0, 0, 0, false, false, 0
 	op.unanswered, op.unreleased, op.answer, op.hasAnswer, op.clientGone, op.answered = 0, 0, 0, false, false, false
 	op.pieces = op.pieces[:0]
 	clear(op.changes)
--- a/internal/front/dav/io.go
+++ b/internal/front/dav/io.go
@@ -91,7 +91,7 @@
 		}
 	}
 	if op := c.op; op.Verdict != block.Served {
-		err := &OpError{op.Verdict, op.CoolDown, op.NoRoom, op.Limited}
+		err := &OpError{op.Verdict, op.CoolDown, op.NoSpace, op.Limited}
 		op.Release()
 		return err
 	}
