--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -99,7 +99,7 @@
 				}
 				if a.Op.Verdict == block.Served && a.Op.Kind == block.Read {
 					n := int64(0)
-					a.Op.Each(func(at int64, b []byte) {
+					a.Op.EachRead(func(at int64, b []byte) {
 						if at != n {
 							w.Fatalf("a gap in the data read, at %d", n)
 						}
--- a/internal/engine/mirror_test.go
+++ b/internal/engine/mirror_test.go
@@ -166,7 +166,7 @@
 			p.servedSince[b] = max(p.servedSince[b], r.startedAt)
 		}
 		if op.Kind == block.Read {
-			op.Each(func(at int64, data []byte) {
+			op.EachRead(func(at int64, data []byte) {
 				for i := int64(0); i < int64(len(data))/512; i++ {
 					b := (op.Offset+at)/512 + i
 					if got := binary.LittleEndian.Uint64(data[i*512:]); p.isStale(got, r.servedSince[b]) {
--- a/internal/engine/op.go
+++ b/internal/engine/op.go
@@ -88,8 +88,8 @@
 	opPool.Put(op)
 }
 
-// Each calls f with the data read, in order: the offset in the request and the data that begins there.
-func (op *Op) Each(f func(at int64, data []byte)) {
+// EachRead calls f with the data read, in order: the offset in the request and the data that begins there.
+func (op *Op) EachRead(f func(at int64, data []byte)) {
 	for _, p := range op.pieces {
 		f(p.opOffset, p.result.B[p.resultOffset:p.resultOffset+p.len])
 	}
--- a/internal/front/dav/io.go
+++ b/internal/front/dav/io.go
@@ -171,7 +171,7 @@
 			return err
 		}
 		p.buf = chunkBuffers.Get().(*[chunkBytes]byte)
-		op.Each(func(at int64, data []byte) { copy(p.buf[at:], data) })
+		op.EachRead(func(at int64, data []byte) { copy(p.buf[at:], data) })
 		op.Release()
 		p.data = p.buf[skip : skip+n]
 		return nil
--- a/internal/front/ring/vring.go
+++ b/internal/front/ring/vring.go
@@ -675,7 +675,7 @@
 				written = 0
 			}
 		case status == statusOK:
-			op.Each(func(at int64, data []byte) {
+			op.EachRead(func(at int64, data []byte) {
 				if err == nil {
 					err = m.copyIn(q.in, uint64(at), data)
 				}
