--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -149,12 +149,12 @@
 	return c, nil
 }
 
-// Restore restores what an earlier process has learned. It must be called before any event. Where that process did not
-// shut down in good order, call [Core.HoldChanges] too.
+// Restore restores a snapshot of what an earlier process has learned. It must be called before any event. Where that
+// process did not shut down in good order, call [Core.HoldChanges] too.
 func (c *Core) Restore(now logic.Micros, m logic.Snapshot) error { return c.host.Restore(now, m) }
 
-// HoldChanges holds all changes back for the order rule's pause (OrderPause), because attempts of a killed process may still
-// run.
+// HoldChanges holds all changes back for the order rule's pause (OrderPause), because attempts of a killed process may
+// still run.
 func (c *Core) HoldChanges(now logic.Micros) {
 	for i := range c.volumes {
 		for _, o := range c.volumes[i].orders {
@@ -178,7 +178,7 @@
 	return c.tally.Ops == 0 && c.tally.Attempts == 0
 }
 
-// Snapshot returns a snapshot of what the core has learned.
+// Snapshot returns a copy of what the core has learned.
 func (c *Core) Snapshot(now logic.Micros) logic.Snapshot { return c.host.Snapshot(now) }
 
 // Memory returns the semaphore that bounds a volume's buffers. Fronts acquire from it for the requests that they
--- a/internal/engine/crossed.go
+++ b/internal/engine/crossed.go
@@ -16,7 +16,7 @@
 const (
 	LocalZone      Reason = iota // the node is in this gateway's zone
 	NoCopyHere                   // a first attempt at data of which no copy lies in this zone
-	Retry                        // a retry
+	Retry                        // another attempt after one that ended
 	TooLate                      // an attempt that ended after it had been given up
 	Spill                        // a read that a copy in this zone would have answered too late
 	MirroredChange               // a change sent to one of several copies
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -136,8 +136,8 @@
 // Nodes reports changes of the node list.
 func (e *Engine) Nodes(list []logic.Node) { e.loop.Post(input{kind: nodesChanged, nodes: list}) }
 
-// Restore restores what an earlier process has learned, where m is not nil. It must be called before any event. Rest
-// is set where that process may have left attempts running at nodes.
+// Restore restores a snapshot of what an earlier process has learned, where m is not nil. It must be called before any
+// event. Rest is set where that process may have left attempts running at nodes; changes are then held back for a while.
 func (e *Engine) Restore(m *logic.Snapshot, rest bool) (err error) {
 	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
@@ -169,7 +169,7 @@
 	return quiet
 }
 
-// Snapshot returns a snapshot of what has been learned, and the time of the snapshot.
+// Snapshot returns a copy of what has been learned, and the time of the copy.
 func (e *Engine) Snapshot() (m logic.Snapshot, now logic.Micros) {
 	e.loop.WithLock(func(at logic.Micros) { m, now = e.core.Snapshot(at), at })
 	return m, now
--- a/internal/engine/mirror.go
+++ b/internal/engine/mirror.go
@@ -356,7 +356,7 @@
 	return nil
 }
 
-// StopFills stops starting fills. Fills in progress go on.
+// StopFills stops the start of further fills. Fills in progress go on.
 func (c *Core) StopFills() { c.mirrors.fillsStopped = true }
 
 // MirrorStatus is the state of the copies of a mirrored extent.
--- a/internal/engine/object_test.go
+++ b/internal/engine/object_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestObjectNoRoom checks that an object is refused at once with NoRoom where no cell has space, and goes to another
+// TestObjectNoRoom checks that an object is refused at once with NoSpace where no cell has space, and goes to another
 // zone where only that one has space.
 func TestObjectNoRoom(t *testing.T) {
 	cfg := objectConfig(t)
@@ -163,7 +163,7 @@
 		return op
 	}
 	if op := write(65 << 10); len(h.answered) != 1 || !op.NoSpace || op.Verdict != block.Refused {
-		t.Fatalf("larger than any slab: %d answers, NoRoom %v", len(h.answered), op.NoSpace)
+		t.Fatalf("larger than any slab: %d answers, NoSpace %v", len(h.answered), op.NoSpace)
 	}
 	write(64 << 10) // in this zone only cell 0 has space
 	if len(h.outstanding) != 1 || h.outstanding[0].Node != 1 || h.outstanding[0].Namespace != 1 {
