--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -137,7 +137,7 @@
 func (e *Engine) Nodes(list []logic.Node) { e.loop.Post(input{kind: nodesChanged, nodes: list}) }
 
 // Restore restores a snapshot of what an earlier process has learned, where m is not nil. It must be called before any
-// event. Rest is set where that process may have left attempts running at nodes; changes are then held back for a while.
+// event. Rest is set where that process may have left attempts running at nodes: changes are then held back.
 func (e *Engine) Restore(m *logic.Snapshot, rest bool) (err error) {
 	e.loop.WithLock(func(now logic.Micros) {
 		if rest {
--- a/internal/engine/op.go
+++ b/internal/engine/op.go
@@ -28,7 +28,7 @@
 	// with the op.
 	Buffer     *block.Buffer
 	Durable    bool         // a change must be on stable storage before it is answered
-	Key        uint64       // idempotency key by which nodes discard duplicates, also of an earlier process; 0: chosen here
+	Key        uint64       // idempotency key by which nodes discard duplicates, also after a restart; 0: chosen here
 	TimeLeft   logic.Micros // time left until the client's deadline; 0: the deadline of its class
 	MayHaveRun bool         // an attempt of an earlier process may have run
 	NewObject  bool         // a write of a new object; the engine sets Offset when it is served
