--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,5 @@
-// Package gateway puts a gateway together: fronts, engine, nodes and directory, and their lives.
+// Package gateway assembles a gateway from its fronts, engine, node connections and discovery client, and runs and
+// stops them in order.
 package gateway
 
 import (
@@ -27,46 +28,47 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Gateway is one running gateway.
+// Gateway connects the fronts for clients with the storage nodes and keeps state over restarts. It is made by [New] or
+// [Takeover] and served by Run.
 type Gateway struct {
-	cfg    *settings.Config
-	log    *zap.Logger
-	Engine *engine.Engine
-	Rings  *ring.Server
-	Dav    *dav.Server // nil: no listener
-	nodes  map[logic.NodeID]*initiator.Node
-	order  []logic.NodeID
-	direct *initiator.Discovery
+	cfg       *settings.Config
+	log       *zap.Logger
+	Engine    *engine.Engine
+	Rings     *ring.Server
+	Dav       *dav.Server // nil if no listener is configured
+	nodes     map[logic.NodeID]*initiator.Node
+	nodeIDs   []logic.NodeID
+	discovery *initiator.Discovery
 
 	mu      sync.Mutex
 	members *members.Members
-	history crossing.History // of what was counted
+	history crossing.History // counters of the traffic between zones over time
 
-	store *state.Store // nil: nothing is kept
+	store *state.Store // nil if no state folder is configured
 	Saves SaveCounts
-	marks *marks // nil: there are no mirrored extents
+	marks *marks // nil without mirrored extents
 
-	front     context.Context // ends all clients' sessions
-	stopFront context.CancelFunc
-	takeover  bool          // begins by taking over from a running process
-	waiting   bool          // logic is told of no node yet; under mu
-	handed    chan struct{} // closed when another process has taken over
+	frontCtx   context.Context // its end closes all client sessions
+	stopFront  context.CancelFunc
+	takeover   bool          // Run first takes over from a running process
+	deferNodes bool          // hold back node changes from logic during a takeover; guarded by mu
+	handedOver chan struct{} // closed once another process has taken over
 }
 
-// New makes a gateway and opens its sockets, so that what is wrong with them is told at once.
+// New builds a gateway, restores its state and opens its sockets, so that errors in these show before Run.
 func New(cfg *settings.Config, log *zap.Logger) (*Gateway, error) {
 	g, err := build(cfg, log)
 	if err != nil {
 		return nil, err
 	}
-	if err := g.recall(); err != nil {
+	if err := g.restoreState(); err != nil {
 		return nil, err
 	}
-	if err := g.recallMarks(); err != nil {
+	if err := g.restoreMarks(); err != nil {
 		g.closeStore()
 		return nil, err
 	}
-	if g.Rings, err = ring.Listen(g.front, cfg, g.Engine, log.Named("ring")); err != nil {
+	if g.Rings, err = ring.Listen(g.frontCtx, cfg, g.Engine, log.Named("ring")); err != nil {
 		g.closeStore()
 		return nil, err
 	}
@@ -85,7 +87,7 @@
 	return err
 }
 
-// build makes a gateway without sockets and state.
+// build assembles a gateway without opening sockets or restoring state.
 func build(cfg *settings.Config, log *zap.Logger) (*Gateway, error) {
 	var seed [24]byte
 	rand.Read(seed[:])
@@ -94,14 +96,14 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, log: log, Engine: e, nodes: map[logic.NodeID]*initiator.Node{}, handed: make(chan struct{})}
-	g.front, g.stopFront = context.WithCancel(context.Background())
+	g := &Gateway{cfg: cfg, log: log, Engine: e, nodes: map[logic.NodeID]*initiator.Node{}, handedOver: make(chan struct{})}
+	g.frontCtx, g.stopFront = context.WithCancel(context.Background())
 	var known []members.Known
 	for _, n := range cfg.Nodes {
 		known = append(known, members.Known{ID: n.ID, NQN: n.NQN, Address: n.Address, Zone: n.Zone, Cell: n.Cell, Rating: n.Rating})
 	}
 	g.members = members.New(known, cfg.Directory.Address != "")
-	// The host's names are stable over restarts, so that nodes know it again.
+	// The host NQN and ID are stable over restarts, so that nodes recognize the host.
 	hostNQN := "nqn.2026-12.example.appleplank:" + cfg.Name
 	var hostID [16]byte
 	copy(hostID[:], fmt.Sprintf("%-16s", cfg.Name))
@@ -124,37 +126,38 @@
 			Now: e.Now, Log: log.Named("node").With(zap.Uint32("node", uint32(n.ID))),
 			Address: func() string { return g.address(n.ID) },
 		}, e, g)
-		g.order = append(g.order, n.ID)
+		g.nodeIDs = append(g.nodeIDs, n.ID)
 	}
 	if cfg.Directory.Address != "" {
-		g.direct = &initiator.Discovery{
+		g.discovery = &initiator.Discovery{
 			Address: cfg.Directory.Address, HostNQN: hostNQN, HostID: hostID, Timeout: us(cfg.Times.Connect),
 			PollInterval: us(cfg.Directory.Every), Seed: le.Uint64(seed[:]), Now: e.Now, Log: log.Named("directory"),
-			OnPage: g.listed,
+			OnPage: g.applyDiscoveryPage,
 		}
 	}
 	e.SetBack(g)
 	return g, nil
 }
 
-// Run serves until ctx ends, then drains: nothing new is taken, everything held is answered, within the settings'
-// time. Once hard ends it returns without waiting for that. Nothing of the gateway is left when it returns.
-func (g *Gateway) Run(ctx, hard context.Context) error {
-	back, stopBack := context.WithCancel(hard)
+// Run serves until ctx ends, then drains: it accepts no new requests and answers those it holds within the drain time
+// of the settings. Once abort ends, it returns without waiting for them. It also returns after another process has
+// taken over. On return all goroutines, connections and files of the gateway are closed.
+func (g *Gateway) Run(ctx, abort context.Context) error {
+	backCtx, stopBack := context.WithCancel(abort)
 	defer stopBack()
-	var nodes errgroup.Group
-	for _, id := range g.order {
-		nodes.Go(func() error { return g.nodes[id].Run(back) })
+	var nodeGroup errgroup.Group
+	for _, id := range g.nodeIDs {
+		nodeGroup.Go(func() error { return g.nodes[id].Run(backCtx) })
 	}
-	if g.direct != nil {
-		nodes.Go(func() error { return g.direct.Run(back) })
+	if g.discovery != nil {
+		nodeGroup.Go(func() error { return g.discovery.Run(backCtx) })
 	}
-	stop := context.AfterFunc(hard, g.stopFront)
-	defer stop()
-	over := func(err error) error {
+	stopFrontAbort := context.AfterFunc(abort, g.stopFront)
+	defer stopFrontAbort()
+	shutdown := func(err error) error {
 		g.stopFront()
 		stopBack()
-		nodes.Wait()
+		nodeGroup.Wait()
 		g.Engine.Close()
 		if g.Dav != nil {
 			g.Dav.Close()
@@ -164,52 +167,52 @@
 	}
 	if g.takeover {
 		if err := g.takeOver(ctx); err != nil {
-			return over(fmt.Errorf("taking over: %w", err))
+			return shutdown(fmt.Errorf("taking over: %w", err))
 		}
 	}
-	g.news(func(*members.Members) {})
+	g.updateMembers(func(*members.Members) {})
 	if g.marks != nil {
-		nodes.Go(func() error { g.marks.store.Run(back); return nil })
-		nodes.Go(func() error { g.marks.watch(back); return nil })
+		nodeGroup.Go(func() error { g.marks.store.Run(backCtx); return nil })
+		nodeGroup.Go(func() error { g.marks.logStaleness(backCtx); return nil })
 	}
 	if g.store != nil {
-		nodes.Go(func() error { g.keep(back); return nil })
-		nodes.Go(func() error { return g.listenControl(back) })
+		nodeGroup.Go(func() error { g.savePeriodically(backCtx); return nil })
+		nodeGroup.Go(func() error { return g.listenControl(backCtx) })
 	}
-	// Requests that come before the nodes are connected to would find them all down, and logic leaves such a node alone
-	// for a while.
-	g.reach(ctx)
-	var rings errgroup.Group
-	rings.Go(func() error { return g.Rings.Serve(g.front) })
-	files, stopFiles := context.WithCancel(hard)
-	defer stopFiles()
-	cut, cutFiles := context.WithCancel(hard)
-	defer cutFiles()
-	var davs errgroup.Group
+	// Requests that arrive before the nodes are connected would find all of them down, and logic does not use a node again
+	// for some time after that.
+	g.awaitNodes(ctx)
+	var ringGroup errgroup.Group
+	ringGroup.Go(func() error { return g.Rings.Serve(g.frontCtx) })
+	davCtx, stopDav := context.WithCancel(abort)
+	defer stopDav()
+	davAbortCtx, abortDav := context.WithCancel(abort)
+	defer abortDav()
+	var davGroup errgroup.Group
 	if g.Dav != nil {
-		davs.Go(func() error { return g.Dav.Serve(files, cut) })
+		davGroup.Go(func() error { return g.Dav.Serve(davCtx, davAbortCtx) })
 	}
 	select {
 	case <-ctx.Done():
-	case <-g.handed:
+	case <-g.handedOver:
 		g.log.Info("another process has taken over")
-		cutFiles() // the next one waits for the catalogues
-		stopFiles()
-		davs.Wait()
-		rings.Wait()
-		return over(nil)
+		abortDav() // the next process waits for the catalogues
+		stopDav()
+		davGroup.Wait()
+		ringGroup.Wait()
+		return shutdown(nil)
 	}
 	g.log.Info("draining")
 	g.Rings.StopTaking()
-	drain, cancel := context.WithTimeout(hard, time.Duration(g.cfg.Times.Drain)*time.Microsecond)
-	stopCut := context.AfterFunc(drain, cutFiles)
-	defer stopCut()
-	stopFiles()
-	davs.Wait() // what is under way still takes
-	err := g.Engine.Drained(drain)
-	for err == nil && g.Rings.Owed() > 0 { // answers on their way to the clients' rings
-		pause(drain, time.Millisecond)
-		err = drain.Err()
+	drainCtx, cancel := context.WithTimeout(abort, time.Duration(g.cfg.Times.Drain)*time.Microsecond)
+	stopDrainAbort := context.AfterFunc(drainCtx, abortDav)
+	defer stopDrainAbort()
+	stopDav()
+	davGroup.Wait() // requests in progress may still submit to the engine
+	err := g.Engine.Drained(drainCtx)
+	for err == nil && g.Rings.Owed() > 0 { // answers not yet placed in the clients' rings
+		sleepContext(drainCtx, time.Millisecond)
+		err = drainCtx.Err()
 	}
 	cancel()
 	if t := g.Engine.Tally(); err != nil {
@@ -218,29 +221,30 @@
 		g.log.Info("drained")
 	}
 	g.stopFront()
-	rings.Wait()
-	quiet := g.Engine.Quiet() // before connections are cut, which ends what is out without telling how
+	ringGroup.Wait()
+	quiet := g.Engine.Quiet() // before connections close, which ends outstanding attempts with an unknown outcome
 	stopBack()
-	nodes.Wait()
+	nodeGroup.Wait()
 	g.Engine.Close()
 	if g.Dav != nil {
 		g.Dav.Close()
 	}
 	if g.store != nil {
-		g.save(err == nil, quiet) // with nothing held and nothing sent any more, this is the last word
+		g.save(err == nil, quiet) // the final state: no requests are held and none can be sent any more
 		g.closeStore()
 	}
 	return err
 }
 
-// reach waits until every node that is listed was connected to or could not be, for as long as a connection may take.
-func (g *Gateway) reach(ctx context.Context) {
+// awaitNodes waits until the first connection attempt to every listed node has succeeded or failed, for at most the
+// connect timeout.
+func (g *Gateway) awaitNodes(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(g.cfg.Times.Connect)*time.Microsecond)
 	defer cancel()
-	for g.direct != nil && !g.listedOnce() && ctx.Err() == nil {
-		pause(ctx, time.Millisecond)
+	for g.discovery != nil && !g.hasNodeList() && ctx.Err() == nil {
+		sleepContext(ctx, time.Millisecond)
 	}
-	for _, id := range g.order {
+	for _, id := range g.nodeIDs {
 		if g.address(id) == "" {
 			continue
 		}
@@ -252,13 +256,14 @@
 	}
 }
 
-func (g *Gateway) listedOnce() bool {
+func (g *Gateway) hasNodeList() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.HasList()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleepContext waits for d or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -273,7 +278,7 @@
 // Drop implements [block.Back].
 func (g *Gateway) Drop(a *block.Attempt) { g.nodes[a.Node].Drop(a) }
 
-// Node is one of the gateway's nodes, for its counts.
+// Node returns a node of the gateway, for its counters.
 func (g *Gateway) Node(id logic.NodeID) *initiator.Node { return g.nodes[id] }
 
 func (g *Gateway) address(id logic.NodeID) string {
@@ -282,36 +287,37 @@
 	return g.members.Address(id)
 }
 
-// news lets something be learned of the nodes and tells logic what that changes.
-func (g *Gateway) news(learn func(m *members.Members)) {
+// updateMembers applies update to the member list and passes the resulting node changes to logic.
+func (g *Gateway) updateMembers(update func(m *members.Members)) {
 	g.mu.Lock()
-	learn(g.members)
-	var list []logic.Node
-	if !g.waiting {
-		list = g.members.Changes(nil)
+	update(g.members)
+	var changed []logic.Node
+	if !g.deferNodes {
+		changed = g.members.Changes(nil)
 	}
 	g.mu.Unlock()
-	for _, n := range list {
+	for _, n := range changed {
 		g.log.Info("node", zap.Uint32("node", uint32(n.ID)), zap.String("state", [...]string{"gone", "ready", "draining"}[n.State]))
 	}
-	if len(list) > 0 {
-		g.Engine.Nodes(list)
-		for _, n := range list {
+	if len(changed) > 0 {
+		g.Engine.Nodes(changed)
+		for _, n := range changed {
 			g.nodes[n.ID].RefreshAddress()
 		}
 	}
 }
 
-func (g *Gateway) listed(session int, d nvme.Discovery) {
+// applyDiscoveryPage passes the NVMe/TCP subsystems of a discovery log page to the member list.
+func (g *Gateway) applyDiscoveryPage(session int, d nvme.Discovery) {
 	var entries []members.Entry
 	for _, e := range d.Entries {
 		if e.Transport == nvme.TransportTCP && e.Subsystem == nvme.SubsystemNVM {
 			entries = append(entries, members.Entry{NQN: e.NQN, Address: net.JoinHostPort(e.Address, e.Service)})
 		}
 	}
-	g.news(func(m *members.Members) {
-		if c := m.ApplyList(session, d.Generation, entries); c != "" {
-			g.log.Warn("directory", zap.String("complaint", c))
+	g.updateMembers(func(m *members.Members) {
+		if complaint := m.ApplyList(session, d.Generation, entries); complaint != "" {
+			g.log.Warn("directory", zap.String("complaint", complaint))
 		}
 	})
 }
@@ -319,17 +325,17 @@
 // Reached implements [initiator.Watcher].
 func (g *Gateway) Reached(id logic.NodeID, age logic.Micros) {
 	g.log.Info("node reached", zap.Uint32("node", uint32(id)), zap.Int64("process_age_us", int64(age)))
-	g.news(func(m *members.Members) { m.Reached(id, g.Engine.Now(), age) })
+	g.updateMembers(func(m *members.Members) { m.Reached(id, g.Engine.Now(), age) })
 }
 
 // Refused implements [initiator.Watcher].
 func (g *Gateway) Refused(id logic.NodeID) {
-	g.news(func(m *members.Members) { m.Refused(id, g.Engine.Now()) })
+	g.updateMembers(func(m *members.Members) { m.Refused(id, g.Engine.Now()) })
 }
 
 // Draining implements [initiator.Watcher].
 func (g *Gateway) Draining(id logic.NodeID, is bool) {
-	g.news(func(m *members.Members) { m.SetDraining(id, is) })
+	g.updateMembers(func(m *members.Members) { m.SetDraining(id, is) })
 }
 
 // Lost implements [initiator.Watcher].
--- a/internal/gateway/keep.go
+++ b/internal/gateway/keep.go
@@ -17,12 +17,12 @@
 	"go.uber.org/zap"
 )
 
-// SaveCounts are totals since the start.
+// SaveCounts counts successful and failed saves of the state since the start.
 type SaveCounts struct{ Saved, Failed atomic.Uint64 }
 
-// recall takes hold of the state folder and gives engine and members what of it still counts. What is wrong with the
-// file never keeps a gateway from starting; another process that holds the folder does.
-func (g *Gateway) recall() error {
+// restoreState locks the state folder and restores from it what is still valid. A state file that cannot be used does
+// not prevent a start; a folder that another process holds does.
+func (g *Gateway) restoreState() error {
 	dir := g.cfg.State.Dir
 	if dir == "" {
 		return errors.Join(g.Engine.Remember(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
@@ -40,24 +40,25 @@
 	if st == nil {
 		return errors.Join(g.Engine.Remember(nil, true), g.Engine.RememberCrossing(nil, nil, 0))
 	}
-	// Mark it as used before anything is sent: a later start must not take it for the last word of this life.
+	// Clear the flags of a clean shutdown before anything is sent: a later start must not take this file for the final
+	// state of this process.
 	clean, quiet := st.Clean, st.Clean && st.Quiet
 	st.Clean, st.Quiet = false, false
-	marked := true
+	markedUsed := true
 	if err := store.Save(st); err != nil {
-		if ferr := store.Forget(); ferr != nil {
-			marked = false
+		if forgetErr := store.Forget(); forgetErr != nil {
+			markedUsed = false
 		}
 		log.Warn("cannot be written; limits start at their lowest", zap.Error(err))
 		g.Saves.Failed.Add(1)
 	}
-	return g.remember(st, clean, quiet, marked)
+	return g.applyState(st, clean, quiet, markedUsed)
 }
 
-// remember gives engine and members what of a state still counts.
-func (g *Gateway) remember(st *state.State, clean, quiet, marked bool) error {
+// applyState restores the engine and the members from the parts of a state that are still valid.
+func (g *Gateway) applyState(st *state.State, clean, quiet, markedUsed bool) error {
 	log := g.log.Named("state")
-	age, how, complaint := recall.Age(st.Written, state.Now())
+	age, trust, complaint := recall.Age(st.Written, state.Now())
 	if complaint != "" {
 		log.Warn("how old it is cannot be told; most of it counts for nothing", zap.String("complaint", complaint))
 	}
@@ -66,18 +67,18 @@
 		rows = append(rows, engine.Crossed{Volume: r.Volume, Class: r.Class, Zone: r.Zone, Reason: engine.Reason(r.Reason), Attempts: r.Attempts, Out: r.Out, In: r.In})
 	}
 	budget := st.Budget
-	if !recall.LimitsUsable(clean, marked, how) {
-		budget = nil // what was spent since is not known
+	if !recall.LimitsUsable(clean, markedUsed, trust) {
+		budget = nil // what was spent since the save is unknown
 	}
 	g.history.Restore(st.History, st.Crossed)
 	if err := g.Engine.RememberCrossing(rows, budget, age); err != nil {
 		log.Warn("crossing", zap.Error(err))
 	}
-	memory := recall.Fade(st.Logic, age, how, recall.LimitsUsable(clean, marked, how))
+	restored := recall.Fade(st.Logic, age, trust, recall.LimitsUsable(clean, markedUsed, trust))
 	known := st.Members
 	for i := range known {
 		for _, at := range []*logic.Micros{&known[i].Started, &known[i].Refused} {
-			if *at < logic.Never/2 && how != recall.Unknown {
+			if *at < logic.Never/2 && trust != recall.Unknown {
 				*at += age
 			}
 		}
@@ -85,20 +86,21 @@
 	g.mu.Lock()
 	g.members.Restore(g.Engine.Now(), known)
 	g.mu.Unlock()
-	if err := g.Engine.Remember(&memory, !quiet); err != nil {
+	if err := g.Engine.Remember(&restored, !quiet); err != nil {
 		log.Warn("started without", zap.Error(err))
 		return g.Engine.Remember(nil, true)
 	}
-	log.Info("remembered", zap.Duration("age", time.Duration(age)*time.Microsecond), zap.Bool("exact", how == recall.Exact),
-		zap.Bool("ended by itself", clean), zap.Int("nodes", len(memory.Nodes)), zap.Int("volumes", len(memory.Volumes)))
+	log.Info("remembered", zap.Duration("age", time.Duration(age)*time.Microsecond), zap.Bool("exact", trust == recall.Exact),
+		zap.Bool("ended by itself", clean), zap.Int("nodes", len(restored.Nodes)), zap.Int("volumes", len(restored.Volumes)))
 	return nil
 }
 
-// keep saves every so often. Trouble is said once when it begins and once when it ends.
-func (g *Gateway) keep(ctx context.Context) {
+// savePeriodically saves the state at the interval of the settings until ctx ends. It logs an error when it first
+// occurs or its text changes, and once when saving works again.
+func (g *Gateway) savePeriodically(ctx context.Context) {
 	t := time.NewTicker(time.Duration(g.cfg.State.Every) * time.Microsecond)
 	defer t.Stop()
-	last := ""
+	lastError := ""
 	for {
 		select {
 		case <-ctx.Done():
@@ -107,17 +109,18 @@
 		}
 		err := g.save(false, false)
 		switch {
-		case err != nil && err.Error() != last:
-			last = err.Error()
+		case err != nil && err.Error() != lastError:
+			lastError = err.Error()
 			g.log.Named("state").Warn("cannot be saved; service goes on", zap.Error(err))
-		case err == nil && last != "":
-			last = ""
+		case err == nil && lastError != "":
+			lastError = ""
 			g.log.Named("state").Info("is saved again", zap.Uint64("failed", g.Saves.Failed.Load()))
 		}
 	}
 }
 
-// save writes what is known now. Clean says that nothing will be sent after it, quiet that nothing sent may still run.
+// save writes the current state. Clean states that nothing is sent after this save, quiet that nothing sent before can
+// still be running at a node.
 func (g *Gateway) save(clean, quiet bool) error {
 	err := g.store.Save(g.snapshot(clean, quiet))
 	if err != nil {
@@ -129,9 +132,9 @@
 }
 
 func (g *Gateway) snapshot(clean, quiet bool) *state.State {
-	m, now := g.Engine.Learned()
+	learned, now := g.Engine.Learned()
 	rows, budget := g.Engine.Crossing()
-	st := &state.State{Gateway: g.cfg.Name, Written: state.Now(), Clean: clean, Quiet: quiet, Logic: m, Budget: &budget}
+	st := &state.State{Gateway: g.cfg.Name, Written: state.Now(), Clean: clean, Quiet: quiet, Logic: learned, Budget: &budget}
 	for _, r := range rows {
 		st.Crossed = append(st.Crossed, crossing.Count{Volume: r.Volume, Class: r.Class, Zone: r.Zone, Reason: uint8(r.Reason), Attempts: r.Attempts, Out: r.Out, In: r.In})
 	}
--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -13,11 +13,11 @@
 	"go.uber.org/zap"
 )
 
-// marks keeps the engine's marks of mirrored extents in the state folder.
+// marks stores the engine's marks of mirrored extents in the state folder. It implements [engine.Marks].
 type marks struct {
 	engine  *engine.Engine
 	store   *state.Marks
-	volumes []copies.Volume // in the order of the settings
+	volumes []copies.Volume // in settings order
 	region  int64
 	log     *zap.Logger
 }
@@ -30,7 +30,7 @@
 func (m *marks) Keep(k engine.Mark) {
 	m.store.Keep(m.record(k), func(err error) {
 		if err != nil {
-			m.log.Warn("a mark cannot be kept; changes that need it are refused", zap.Error(err))
+			m.log.Warn("a mark cannot be stored; changes that need it are refused", zap.Error(err))
 		}
 		m.engine.Kept(k, err == nil)
 	})
@@ -42,9 +42,9 @@
 	m.store.Forget(r.Volume, r.From)
 }
 
-// recallMarks opens the marks and gives them to the engine. Unlike the rest of the state they are not a matter of
-// service but of what is true: a gateway that cannot read them does not start.
-func (g *Gateway) recallMarks() error {
+// restoreMarks opens the marks and restores the engine from them. The rest of the state only affects the quality of
+// service, but the marks decide which copies hold valid data: a gateway that cannot read them does not start.
+func (g *Gateway) restoreMarks() error {
 	if !slices.ContainsFunc(g.cfg.Volumes, func(v settings.Volume) bool { return v.Mirrored() }) {
 		return nil
 	}
@@ -64,7 +64,7 @@
 		}
 		m.volumes = append(m.volumes, c)
 	}
-	if err := m.recall(); err != nil {
+	if err := m.restore(); err != nil {
 		store.Close()
 		return err
 	}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// recall gives the engine what an earlier process has left.
-func (m *marks) recall() error {
+// restore loads the marks that an earlier process stored into the engine.
+func (m *marks) restore() error {
 	records, err := m.store.Load()
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 		return err
 	}
 	for _, r := range found.Unknown {
-		m.log.Warn("a mark is of a volume that the settings do not have; it is kept", zap.Uint64("volume", r.Volume))
+		m.log.Warn("a mark belongs to a volume that is not in the settings; it is kept", zap.Uint64("volume", r.Volume))
 	}
 	for _, k := range found.Marks {
 		if err := m.engine.RememberMark(k); err != nil {
@@ -92,7 +92,7 @@
 		}
 	}
 	if len(found.Marks) > 0 {
-		m.log.Info("regions to be caught up", zap.Int("regions", len(found.Marks)))
+		m.log.Info("stale regions to catch up", zap.Int("regions", len(found.Marks)))
 	}
 	if len(found.Replaced) == 0 {
 		return nil
@@ -100,8 +100,8 @@
 	return m.store.Replace(found.Replaced, found.Replacements)
 }
 
-// watch says in the log when copies become stale and when all are whole again.
-func (m *marks) watch(ctx context.Context) {
+// logStaleness logs when copies of an extent become stale and when all of them are whole again.
+func (m *marks) logStaleness(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	stale := map[[2]int]int{}
@@ -112,18 +112,18 @@
 		case <-t.C:
 		}
 		for _, x := range m.engine.Mirrors() {
-			at := [2]int{x.Volume, x.Extent}
-			was := stale[at]
-			stale[at] = x.Stale
-			if (was == 0) == (x.Stale == 0) {
+			extent := [2]int{x.Volume, x.Extent}
+			before := stale[extent]
+			stale[extent] = x.Stale
+			if (before == 0) == (x.Stale == 0) {
 				continue
 			}
-			say := m.log.Warn
-			text := "copies have missed changes"
+			logAt := m.log.Warn
+			message := "copies have missed changes"
 			if x.Stale == 0 {
-				say, text = m.log.Info, "all copies are whole again"
+				logAt, message = m.log.Info, "all copies are whole again"
 			}
-			say(text, zap.String("volume", m.volumes[x.Volume].Name), zap.Int("extent", x.Extent), zap.Int("regions", x.Stale), zap.Bools("whole", x.Whole))
+			logAt(message, zap.String("volume", m.volumes[x.Volume].Name), zap.Int("extent", x.Extent), zap.Int("regions", x.Stale), zap.Bools("whole", x.Whole))
 		}
 	}
 }
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -21,42 +21,43 @@
 )
 
 /*
-A planned restart: a second process starts beside the running one, connects to the nodes, and takes over by the socket
-"control" in the state folder. Each message is a 4-byte length and JSON; descriptors follow their message, one with each
-byte of "F".
+In a planned restart a second process starts beside the running one, connects to the nodes, and takes over through the
+socket "control" in the state folder. Each message is a 4-byte little-endian length and JSON. File descriptors follow
+their message, each with one byte "F".
 
 	new                      old
 	hello (gateway)    ->
 	                   <-    welcome, or a refusal
-	ready              ->                            nodes are connected to
-	                         stands still
+	ready              ->                            the new process is connected to the nodes
+	                         stops serving
 	                   <-    everything              state, listeners, sessions, lock
-	adopted            ->                            nothing was taken yet
-	                   <-    go                      the old one ends
+	adopted            ->                            no request has been accepted yet
+	                   <-    go                      the old process exits
 	serves
 
-Until it has said go the old one goes on as before if the new one says no, is cut off, or does not answer in time; and
-without go the new one takes nothing.
+Until it has sent go, the old process resumes service if the new one sends no, disconnects or does not answer in time.
+The new process accepts no requests before it has received go.
 */
 const (
-	controlName = "control"
-	// adoptTime is how long the new process has to adopt what it was given, while nobody serves.
-	adoptTime = 1 * time.Second
-	// readyTime is how long it has to connect to the nodes, while the old one serves.
-	readyTime = 30 * time.Second
-	mostTalk  = 128 << 20
+	controlSocketName = "control"
+	// adoptTimeout bounds how long the new process takes to adopt what it receives. Neither process serves then.
+	adoptTimeout = 1 * time.Second
+	// readyTimeout bounds how long the new process takes to connect to the nodes. The old one still serves then.
+	readyTimeout   = 30 * time.Second
+	maxMessageSize = 128 << 20
 )
 
-type talk struct {
+// controlMessage is one message between the two processes of a takeover. Which fields are set depends on Word.
+type controlMessage struct {
 	Gateway string       `json:",omitempty"`
 	Word    string       // hello, welcome, ready, everything, adopted, go, or no
-	Why     string       `json:",omitempty"` // no: the reason
+	Why     string       `json:",omitempty"` // the reason, with no
 	State   []byte       `json:",omitempty"`
 	Handed  *ring.Handed `json:",omitempty"`
-	Lock    bool         `json:",omitempty"` // its descriptor is the last
+	Lock    bool         `json:",omitempty"` // the lock's descriptor follows, after all others
 }
 
-func say(c *net.UnixConn, t talk, fds ...int) error {
+func sendMessage(c *net.UnixConn, t controlMessage, fds ...int) error {
 	b, err := json.Marshal(t)
 	if err != nil {
 		return err
@@ -72,14 +73,14 @@
 	return nil
 }
 
-func hear(c *net.UnixConn, want string) (t talk, err error) {
+func receiveMessage(c *net.UnixConn, want string) (t controlMessage, err error) {
 	var n [4]byte
 	if _, err := io.ReadFull(c, n[:]); err != nil {
 		return t, fmt.Errorf("waiting for %q: %w", want, err)
 	}
 	size := binary.LittleEndian.Uint32(n[:])
-	if size > mostTalk {
-		return t, fmt.Errorf("waiting for %q: a message of %d bytes", want, size)
+	if size > maxMessageSize {
+		return t, fmt.Errorf("waiting for %q: message of %d bytes is too long", want, size)
 	}
 	b := make([]byte, size)
 	if _, err := io.ReadFull(c, b); err != nil {
@@ -92,13 +93,13 @@
 		return t, errors.New(t.Why)
 	}
 	if t.Word != want {
-		return t, fmt.Errorf("%q in place of %q", t.Word, want)
+		return t, fmt.Errorf("received %q, expected %q", t.Word, want)
 	}
 	return t, nil
 }
 
-// hearFD takes the descriptor that comes with the next byte.
-func hearFD(c *net.UnixConn) (int, error) {
+// receiveFD receives the descriptor that comes with the next byte.
+func receiveFD(c *net.UnixConn) (int, error) {
 	var b [1]byte
 	oob := make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := c.ReadMsgUnix(b[:], oob)
@@ -107,26 +108,26 @@
 	}
 	cs, err := unix.ParseSocketControlMessage(oob[:n])
 	if err != nil || len(cs) != 1 {
-		return -1, fmt.Errorf("no descriptor came: %v", err)
+		return -1, fmt.Errorf("no descriptor received: %v", err)
 	}
 	fds, err := unix.ParseUnixRights(&cs[0])
 	if err != nil || len(fds) != 1 {
-		return -1, fmt.Errorf("%d descriptors came: %v", len(fds), err)
+		return -1, fmt.Errorf("received %d descriptors, expected 1: %v", len(fds), err)
 	}
 	return fds[0], nil
 }
 
-// listenControl lets another process take over, until ctx ends or one has.
+// listenControl accepts takeovers by other processes until ctx ends or one succeeds.
 func (g *Gateway) listenControl(ctx context.Context) error {
-	path := filepath.Join(g.cfg.State.Dir, controlName)
-	os.Remove(path) // the folder is ours alone, so whoever listened there is gone or about to be
+	path := filepath.Join(g.cfg.State.Dir, controlSocketName)
+	os.Remove(path) // this process holds the folder, so any earlier listener has exited or is about to
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		g.log.Warn("nobody can take over", zap.Error(err))
 		return nil
 	}
 	os.Chmod(path, 0o600)
-	l.SetUnlinkOnClose(false) // by then it may be the next process's
+	l.SetUnlinkOnClose(false) // by then the path may belong to the next process
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	defer l.Close()
@@ -138,88 +139,89 @@
 		err = g.handOver(c)
 		c.Close()
 		if err == nil {
-			close(g.handed)
+			close(g.handedOver)
 			return nil
 		}
 		g.log.Warn("a takeover failed; this process goes on", zap.Error(err))
 	}
 }
 
-// handOver speaks with a process that wants to take over. Without an error that process serves now.
+// handOver hands the gateway over to the process at the other end of c. If it returns nil, that process serves from
+// then on; otherwise this one goes on.
 func (g *Gateway) handOver(c *net.UnixConn) error {
-	c.SetDeadline(time.Now().Add(readyTime))
-	t, err := hear(c, "hello")
+	c.SetDeadline(time.Now().Add(readyTimeout))
+	t, err := receiveMessage(c, "hello")
 	if err != nil {
 		return err
 	}
 	if t.Gateway != g.cfg.Name {
-		why := fmt.Sprintf("this is gateway %q, not %q", g.cfg.Name, t.Gateway)
-		say(c, talk{Word: "no", Why: why})
-		return errors.New(why)
+		reason := fmt.Sprintf("this is gateway %q, not %q", g.cfg.Name, t.Gateway)
+		sendMessage(c, controlMessage{Word: "no", Why: reason})
+		return errors.New(reason)
 	}
-	if err := say(c, talk{Word: "welcome"}); err != nil {
+	if err := sendMessage(c, controlMessage{Word: "welcome"}); err != nil {
 		return err
 	}
-	if _, err := hear(c, "ready"); err != nil {
+	if _, err := receiveMessage(c, "ready"); err != nil {
 		return err
 	}
 	began := time.Now()
-	h, thaw, err := g.Rings.Freeze()
+	handed, thaw, err := g.Rings.Freeze()
 	if err != nil {
-		say(c, talk{Word: "no", Why: err.Error()})
+		sendMessage(c, controlMessage{Word: "no", Why: err.Error()})
 		return err
 	}
-	// From here on the new process may write the state: two that replace one file would tear it.
+	// From here on the new process may write the state. Two processes that replace the same file would corrupt it.
 	g.store.Suspend(true)
-	stillHere := thaw
-	thaw = func(goOn bool) {
-		if goOn {
+	thawRings := thaw
+	thaw = func(resume bool) {
+		if resume {
 			g.store.Suspend(false)
 			if g.marks != nil {
 				if err := g.marks.store.Suspend(false); err != nil {
-					g.log.Error("marks of copies cannot be taken back; changes that need one are refused", zap.Error(err))
+					g.log.Error("marks of copies cannot be reopened; changes that need one are refused", zap.Error(err))
 				}
 			}
 		}
-		stillHere(goOn)
+		thawRings(resume)
 	}
-	if g.marks != nil { // from here on nothing that needs a mark is answered here
+	if g.marks != nil { // from here on this process answers no request that needs a mark
 		if err := g.marks.store.Suspend(true); err != nil {
 			thaw(true)
 			return err
 		}
 	}
 	quiet := g.Engine.Quiet()
-	b, err := state.Encode(g.snapshot(true, quiet))
+	encoded, err := state.Encode(g.snapshot(true, quiet))
 	if err != nil {
 		thaw(true)
 		return err
 	}
 	var fds []int
-	h.FDs(func(fd *int) { fds = append(fds, *fd) })
+	handed.FDs(func(fd *int) { fds = append(fds, *fd) })
 	lock := g.store.Lock()
 	if lock >= 0 {
 		fds = append(fds, lock)
 	}
-	c.SetDeadline(time.Now().Add(adoptTime))
-	if err = say(c, talk{Word: "everything", State: b, Handed: h, Lock: lock >= 0}, fds...); err == nil {
-		_, err = hear(c, "adopted")
+	c.SetDeadline(time.Now().Add(adoptTimeout))
+	if err = sendMessage(c, controlMessage{Word: "everything", State: encoded, Handed: handed, Lock: lock >= 0}, fds...); err == nil {
+		_, err = receiveMessage(c, "adopted")
 	}
 	if err != nil {
-		// Cut off before go is said: a process that is only slow finds that out, and takes nothing.
+		// Close the connection before go is sent: a new process that is only slow gets an error and accepts no requests.
 		c.Close()
 		thaw(true)
 		return err
 	}
-	err = say(c, talk{Word: "go"})
+	err = sendMessage(c, controlMessage{Word: "go"})
 	thaw(err != nil)
 	if err == nil {
-		g.log.Info("handed over", zap.Duration("stood still", time.Since(began)), zap.Int("clients", len(h.Sessions)), zap.Bool("quiet", quiet))
+		g.log.Info("handed over", zap.Duration("stood still", time.Since(began)), zap.Int("clients", len(handed.Sessions)), zap.Bool("quiet", quiet))
 	}
 	return err
 }
 
-// Takeover makes a gateway that begins by taking over from the process that holds its state folder.
+// Takeover builds a gateway whose Run first takes over from the process that holds its state folder.
 func Takeover(cfg *settings.Config, log *zap.Logger) (*Gateway, error) {
 	if cfg.State.Dir == "" {
 		return nil, errors.New("a takeover needs state(dir = …) in the settings")
@@ -228,44 +230,45 @@
 	if err != nil {
 		return nil, err
 	}
-	g.takeover, g.waiting = true, true
-	g.Rings = ring.New(g.front, cfg, g.Engine, log.Named("ring"))
+	g.takeover, g.deferNodes = true, true
+	g.Rings = ring.New(g.frontCtx, cfg, g.Engine, log.Named("ring"))
 	return g, nil
 }
 
-// dropMarks gives the marks back to the process that goes on.
-func (g *Gateway) dropMarks() {
+// releaseMarks closes the marks after a failed takeover, so that the process that goes on can reopen them.
+func (g *Gateway) releaseMarks() {
 	if g.marks != nil {
 		g.marks.store.Close()
 		g.marks = nil
 	}
 }
 
-// takeOver is the new process's part. Its nodes' goroutines run already.
+// takeOver is the new process's side of a takeover. The goroutines of its nodes must be running.
 func (g *Gateway) takeOver(ctx context.Context) error {
-	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: filepath.Join(g.cfg.State.Dir, controlName), Net: "unix"})
+	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: filepath.Join(g.cfg.State.Dir, controlSocketName), Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("no process to take over from: %w", err)
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	c.SetDeadline(time.Now().Add(readyTime))
-	if err := say(c, talk{Word: "hello", Gateway: g.cfg.Name}); err != nil {
+	c.SetDeadline(time.Now().Add(readyTimeout))
+	if err := sendMessage(c, controlMessage{Word: "hello", Gateway: g.cfg.Name}); err != nil {
 		return err
 	}
-	if _, err := hear(c, "welcome"); err != nil {
+	if _, err := receiveMessage(c, "welcome"); err != nil {
 		return err
 	}
-	// Healthy is: every node is reached, or has had the time for it; those that are down for the old are so for the new.
-	g.reach(ctx)
+	// The process is ready once every node is connected or the time for it has passed: nodes that are down for the old
+	// process are down for the new one as well.
+	g.awaitNodes(ctx)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if err := say(c, talk{Word: "ready"}); err != nil {
+	if err := sendMessage(c, controlMessage{Word: "ready"}); err != nil {
 		return err
 	}
-	t, err := hear(c, "everything")
+	t, err := receiveMessage(c, "everything")
 	if err != nil {
 		return err
 	}
@@ -273,23 +276,23 @@
 		return errors.New("nothing was handed over")
 	}
 	refuse := func(err error) error {
-		say(c, talk{Word: "no", Why: err.Error()})
+		sendMessage(c, controlMessage{Word: "no", Why: err.Error()})
 		return err
 	}
-	var ferr error
+	var fdErr error
 	t.Handed.FDs(func(fd *int) {
 		*fd = -1
-		if ferr == nil {
-			*fd, ferr = hearFD(c)
+		if fdErr == nil {
+			*fd, fdErr = receiveFD(c)
 		}
 	})
 	defer t.Handed.Close()
 	lock := -1
-	if ferr == nil && t.Lock {
-		lock, ferr = hearFD(c)
+	if fdErr == nil && t.Lock {
+		lock, fdErr = receiveFD(c)
 	}
-	if ferr != nil {
-		return refuse(ferr)
+	if fdErr != nil {
+		return refuse(fdErr)
 	}
 	st, err := state.Decode(t.State)
 	if err != nil {
@@ -297,34 +300,35 @@
 	}
 	g.store = state.Adopt(g.cfg.State.Dir, lock, fmt.Sprintf("gateway %s, process %d", g.cfg.Name, os.Getpid()))
 	quiet := st.Quiet
-	if err := g.recallMarks(); err != nil {
+	if err := g.restoreMarks(); err != nil {
 		return refuse(err)
 	}
 	if err := ring.Adopt(g.Rings, g.cfg, t.Handed); err != nil {
 		g.Rings.Drop()
-		g.dropMarks()
+		g.releaseMarks()
 		return refuse(err)
 	}
-	if err := g.remember(st, true, quiet, true); err != nil {
+	if err := g.applyState(st, true, quiet, true); err != nil {
 		g.Rings.Drop()
-		g.dropMarks()
+		g.releaseMarks()
 		return refuse(err)
 	}
-	c.SetDeadline(time.Now().Add(adoptTime))
-	if err = say(c, talk{Word: "adopted"}); err == nil {
-		_, err = hear(c, "go")
+	c.SetDeadline(time.Now().Add(adoptTimeout))
+	if err = sendMessage(c, controlMessage{Word: "adopted"}); err == nil {
+		_, err = receiveMessage(c, "go")
 	}
 	if err != nil {
 		g.Rings.Drop()
-		g.dropMarks()
+		g.releaseMarks()
 		return err
 	}
 	g.mu.Lock()
-	g.waiting = false
+	g.deferNodes = false
 	g.mu.Unlock()
-	// The old process lets go of listeners and catalogues as it ends. Rings are served already; files stand still until then.
-	for end := time.Now().Add(readyTime); len(g.cfg.Dav) > 0; pause(ctx, 20*time.Millisecond) {
-		if err = g.openDav(); err == nil || ctx.Err() != nil || time.Now().After(end) {
+	// The old process releases its listeners and catalogues as it exits. Rings are served already; files are not served
+	// until then.
+	for retryUntil := time.Now().Add(readyTimeout); len(g.cfg.Dav) > 0; sleepContext(ctx, 20*time.Millisecond) {
+		if err = g.openDav(); err == nil || ctx.Err() != nil || time.Now().After(retryUntil) {
 			return err
 		}
 	}
