--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -17,23 +17,23 @@
 	"go.uber.org/zap"
 )
 
-// direct is the same initiator at the same node, without rings and decisions.
-type direct struct {
+// directClient sends to a node through the same initiator, without a ring or the scheduler.
+type directClient struct {
 	*initiator.Node
 	mu   sync.Mutex
 	done map[*block.Attempt]chan logic.Outcome
 }
 
-func (d *direct) AttemptEnded(a *block.Attempt, r block.Result) {
+func (d *directClient) AttemptEnded(a *block.Attempt, r block.Result) {
 	a.Owner.(chan logic.Outcome) <- r.Outcome
 }
-func (d *direct) Reached(logic.NodeID, logic.Micros) {}
-func (d *direct) Refused(logic.NodeID)               {}
-func (d *direct) Draining(logic.NodeID, bool)        {}
-func (d *direct) Lost(logic.NodeID, error)           {}
+func (d *directClient) Reached(logic.NodeID, logic.Micros) {}
+func (d *directClient) Refused(logic.NodeID)               {}
+func (d *directClient) Draining(logic.NodeID, bool)        {}
+func (d *directClient) Lost(logic.NodeID, error)           {}
 
-// load runs n operations over depth goroutines and notes how long each took.
-func load(n, depth int, h *hdrhistogram.Histogram, op func(worker int) error) (time.Duration, error) {
+// runLoad runs n operations over depth goroutines and records the duration of each.
+func runLoad(n, depth int, h *hdrhistogram.Histogram, op func(worker int) error) (time.Duration, error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
@@ -59,24 +59,25 @@
 	return time.Since(start), failed
 }
 
-// BenchmarkPath measures a read from ring to node and back against the same NVMe/TCP client at the same node, by turns
-// in one run. The ratio is of times a request; under 1 the ring is faster. At depth 32 logic's window of a few requests
-// a node bounds what is out, so the client at the node is also measured at the depth that the window allows.
+// BenchmarkPath compares a read from ring to node and back with a read by the same NVMe/TCP client at the same node;
+// the two alternate within one run. The ratio is of the times per request: below 1 the ring is faster. At depth 32
+// logic's window of a few requests per node bounds the requests in flight, so the direct client is also measured at the
+// depth that the window allows.
 func BenchmarkPath(b *testing.B) {
 	for _, size := range []int{4 << 10, 128 << 10} {
 		for _, depth := range []int{1, 2, 32} {
 			b.Run(fmt.Sprintf("%dKiB/depth%d", size>>10, depth), func(b *testing.B) {
-				s := one()
+				s := singleVolume()
 				s.Nodes = 1
 				s.Volumes[0].Cells = []int{0}
-				f, _, stop := up(b, s)
+				f, _, stop := startFleet(b, s)
 				defer stop()
 				cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: depth, MostData: size, EventIdx: true}, time.Second)
 				if err != nil {
 					b.Fatal(err)
 				}
 				defer cl.Vanish()
-				d := &direct{}
+				d := &directClient{}
 				start := time.Now()
 				d.Node = initiator.NewNode(initiator.Config{ID: 1, NQN: f.Nodes[0].NQN(), HostNQN: "nqn.direct", Namespaces: []uint32{1},
 					MaxOutstanding: 64, Queues: 2, Timeout: time.Second, KeepAlive: 10 * time.Second, Log: zap.NewNop(), Address: f.Nodes[0].Address,
@@ -117,22 +118,22 @@
 				var mn, mr, m0, m1 runtime.MemStats
 				const turn = 500
 				warm := hdrhistogram.New(1, 1e10, 3)
-				load(200, depth, warm, byNode)
-				load(200, depth, warm, byRing)
+				runLoad(200, depth, warm, byNode)
+				runLoad(200, depth, warm, byRing)
 				n := 0
 				b.ResetTimer()
 				for n < b.N {
 					k := min(turn, b.N-n)
 					n += k
 					runtime.ReadMemStats(&m0)
-					t, err := load(k, depth, hn, byNode)
+					t, err := runLoad(k, depth, hn, byNode)
 					if err != nil {
 						b.Fatal(err)
 					}
 					tn += t
 					runtime.ReadMemStats(&m1)
 					mn.Mallocs += m1.Mallocs - m0.Mallocs
-					if t, err = load(k, depth, hr, byRing); err != nil {
+					if t, err = runLoad(k, depth, hr, byRing); err != nil {
 						b.Fatal(err)
 					}
 					tr += t
--- a/internal/gateway/count_test.go
+++ b/internal/gateway/count_test.go
@@ -18,63 +18,64 @@
 
 var countRequests = flag.Int("requests", 20_000, "requests of the counting test")
 
-// counter is one client program of the counting test. It owns blocks that nobody else touches, and has at most one
-// request out at each, so it always knows what a read may give.
-type counter struct {
-	t       *testing.T
-	f       *fleet.Fleet
-	first   int64 // its blocks
-	blocks  []blockState
-	rng     *rand.Rand
-	token   *atomic.Uint64
-	asked   *atomic.Int64
-	most    int64
-	answers [3]int
-	left    int
-	reads   int
-	bad     string
+// countingClient is one client program of the counting test. It owns blocks that no other client uses and has at most
+// one request in flight for each, so it always knows what a read may return.
+type countingClient struct {
+	t           *testing.T
+	f           *fleet.Fleet
+	first       int64 // number of its first block
+	blocks      []blockState
+	rng         *rand.Rand
+	token       *atomic.Uint64
+	submitted   *atomic.Int64
+	maxRequests int64
+	answers     [3]int
+	abandoned   int
+	reads       int
+	failure     string
 }
 
 const blockSize = 4096
 
-// blockState is what a block may hold: one of some marks.
+// blockState lists the marks that a block may hold.
 type blockState struct {
-	may  []uint64
-	busy bool
+	possible []uint64
+	inUse    bool
 }
 
-// run asks with a client after another, each of which vanishes in the middle of what it does.
-func (c *counter) run() {
-	for c.asked.Load() < c.most && c.bad == "" {
+// run sends requests with one client after another; each disconnects with requests in flight.
+func (c *countingClient) run() {
+	for c.submitted.Load() < c.maxRequests && c.failure == "" {
 		cl, err := c.f.Dial(0, "orders", standin.ClientConfig{Queues: 2, Depth: 16, MostData: blockSize, EventIdx: c.rng.IntN(2) == 0,
 			Indirect: c.rng.IntN(2) == 0, Advice: c.rng.IntN(2) == 0}, time.Second)
 		if err != nil {
-			c.bad = err.Error()
+			c.failure = err.Error()
 			return
 		}
-		c.life(cl, 200+c.rng.IntN(1500))
+		c.runClient(cl, 200+c.rng.IntN(1500))
 	}
 }
 
-// life is one client's. It holds its books under mu, as answers come from the queues' goroutines.
-func (c *counter) life(cl *standin.Client, requests int) {
+// runClient sends the requests of one client. Its records are guarded by mu, as answers come from the queues'
+// goroutines.
+func (c *countingClient) runClient(cl *standin.Client, requests int) {
 	var mu sync.Mutex
-	var pause time.Time     // a client that was refused comes back later, or refusals would be most of what is counted
-	out := map[int]func(){} // what it means for a block that its request was never answered
+	var retryAt time.Time   // a refused client waits before its next request, or most answers counted would be refusals
+	out := map[int]func(){} // by block: updates its state if its request is never answered
 	fail := func(format string, a ...any) {
-		if c.bad == "" {
-			c.bad = fmt.Sprintf(format, a...)
+		if c.failure == "" {
+			c.failure = fmt.Sprintf(format, a...)
 		}
 	}
 	for range requests {
 		mu.Lock()
-		for wait := time.Until(pause); wait > 0; wait = time.Until(pause) {
+		for wait := time.Until(retryAt); wait > 0; wait = time.Until(retryAt) {
 			mu.Unlock()
 			time.Sleep(wait)
 			mu.Lock()
 		}
 		b := c.rng.IntN(len(c.blocks))
-		for tries := 0; c.blocks[b].busy; tries++ {
+		for tries := 0; c.blocks[b].inUse; tries++ {
 			if b = (b + 1) % len(c.blocks); tries%len(c.blocks) == len(c.blocks)-1 {
 				mu.Unlock()
 				time.Sleep(100 * time.Microsecond)
@@ -82,7 +83,7 @@
 			}
 		}
 		s := &c.blocks[b]
-		s.busy = true
+		s.inUse = true
 		write := c.rng.IntN(2) == 0
 		mark := uint64(0)
 		var data []byte
@@ -92,42 +93,42 @@
 			for at := 0; at < blockSize; at += 8 {
 				binary.LittleEndian.PutUint64(data[at:], mark)
 			}
-			out[b] = func() { s.may = append(s.may, mark) }
+			out[b] = func() { s.possible = append(s.possible, mark) }
 		} else {
 			out[b] = func() {}
 		}
-		c.asked.Add(1)
+		c.submitted.Add(1)
 		mu.Unlock()
 		err := cl.Submit(b&1, kind, uint64(c.first+int64(b))*blockSize/512, data, blockSize, func(r standin.Reply) {
 			mu.Lock()
 			defer mu.Unlock()
 			if out[b] == nil {
-				fail("block %d: an answer to a request that was answered", b)
+				fail("block %d: second answer to a request", b)
 				return
 			}
 			delete(out, b)
-			s.busy = false
+			s.inUse = false
 			if (r.Status == 0) != (r.Verdict == block.Served) {
-				fail("status %d goes with %v", r.Status, r.Verdict)
+				fail("status %d does not match verdict %v", r.Status, r.Verdict)
 			}
 			c.answers[r.Verdict]++
 			if r.Status != 0 {
-				pause = time.Now().Add(min(max(r.Wait, 2*time.Millisecond), 20*time.Millisecond))
+				retryAt = time.Now().Add(min(max(r.Wait, 2*time.Millisecond), 20*time.Millisecond))
 			}
 			switch {
 			case write && r.Verdict == block.Served:
-				s.may = append(s.may[:0], mark)
-			case write: // refused may have run, as the class is safe to repeat, and failed promises nothing
-				s.may = append(s.may, mark)
+				s.possible = append(s.possible[:0], mark)
+			case write: // a refused one may have run, as the class is safe to repeat; a failed one promises nothing
+				s.possible = append(s.possible, mark)
 			case r.Verdict == block.Served:
 				c.reads++
 				got := binary.LittleEndian.Uint64(r.Data)
 				known := false
-				for _, m := range s.may {
+				for _, m := range s.possible {
 					known = known || m == got
 				}
 				if !known {
-					fail("block %d holds mark %d, may hold %v", b, got, s.may)
+					fail("block %d holds mark %d, may hold %v", b, got, s.possible)
 				}
 				for at := 0; at < blockSize; at += 8 {
 					if x := binary.LittleEndian.Uint64(r.Data[at:]); x != got {
@@ -138,11 +139,11 @@
 			}
 		})
 		if err != nil {
-			fail("the gateway closed a client that did nothing wrong: %v", err)
+			fail("the gateway closed a client without cause: %v", err)
 			break
 		}
 	}
-	// One in three waits for its answers, so that lost ones show; the others leave at once.
+	// One client in three waits for its answers, so that lost ones are found; the others disconnect at once.
 	if c.rng.IntN(3) == 0 {
 		err := fleet.Eventually(20*time.Second, func() bool { mu.Lock(); defer mu.Unlock(); return len(out) == 0 })
 		mu.Lock()
@@ -153,27 +154,27 @@
 	}
 	cl.Vanish()
 	if n := cl.Strange(); n > 0 {
-		fail("%d answers that belong to nothing", n)
+		fail("%d answers that match no request", n)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	c.left += len(out)
-	for b, gone := range out {
-		gone()
-		c.blocks[b].busy = false
+	c.abandoned += len(out)
+	for b, markPossible := range out {
+		markPossible()
+		c.blocks[b].inUse = false
 	}
 }
 
-// No answer is lost, none doubled, and every byte read is what was written last, over many requests of clients that
-// vanish, with nodes that answer twice, lose answers, break connections and fail.
+// TestCounting guards against lost answers, duplicate answers and reads of stale data. Its clients disconnect with
+// requests in flight, and its nodes answer twice, lose answers, break connections and fail.
 func TestCounting(t *testing.T) {
-	s := one()
+	s := singleVolume()
 	s.Nodes = 3
 	s.Volumes[0].Cells = []int{0, 1, 2, 0, 1, 2}
 	s.Volumes[0].Extent = 1 << 20
-	s.Head = strings.ReplaceAll(s.Head, "deadline = s(2)", "deadline = ms(500)") // a lost answer holds its place so long
+	s.Head = strings.ReplaceAll(s.Head, "deadline = s(2)", "deadline = ms(500)") // a lost answer occupies its slot until the deadline
 	s.More = "rules(order_pause = ms(50))\ntimes(keep_alive = s(2))\n"
-	f, gws, stop := up(t, s)
+	f, gws, stop := startFleet(t, s)
 	stopped := make(chan struct{})
 	var troubles sync.WaitGroup
 	troubles.Add(1)
@@ -205,12 +206,12 @@
 	var token atomic.Uint64
 	var asked atomic.Int64
 	const clients = 6
-	var all []*counter
+	var all []*countingClient
 	for i := range clients {
-		c := &counter{t: t, f: f, first: int64(i) * 256, blocks: make([]blockState, 256), rng: rand.New(rand.NewPCG(9, uint64(i))),
-			token: &token, asked: &asked, most: int64(*countRequests)}
+		c := &countingClient{t: t, f: f, first: int64(i) * 256, blocks: make([]blockState, 256), rng: rand.New(rand.NewPCG(9, uint64(i))),
+			token: &token, submitted: &asked, maxRequests: int64(*countRequests)}
 		for b := range c.blocks {
-			c.blocks[b].may = []uint64{0}
+			c.blocks[b].possible = []uint64{0}
 		}
 		all = append(all, c)
 		wg.Add(1)
@@ -225,20 +226,20 @@
 	var answers [3]int
 	left, reads := 0, 0
 	for i, c := range all {
-		if c.bad != "" {
-			t.Errorf("client program %d: %s", i, c.bad)
+		if c.failure != "" {
+			t.Errorf("client program %d: %s", i, c.failure)
 		}
 		for v, n := range c.answers {
 			answers[v] += n
 		}
-		left, reads = left+c.left, reads+c.reads
+		left, reads = left+c.abandoned, reads+c.reads
 	}
 	if got := answers[0] + answers[1] + answers[2] + left; int64(got) != asked.Load() && !t.Failed() {
-		t.Errorf("%d requests were asked, %d came to an end", asked.Load(), got)
+		t.Errorf("%d requests were submitted, %d ended", asked.Load(), got)
 	}
-	// Nothing leaks: once all clients are gone every request and buffer is let go of.
+	// Nothing leaks: once all clients are gone, every request and buffer is released.
 	if err := fleet.Eventually(10*time.Second, func() bool { x := gws[0].Engine.Tally(); return x.Ops == 0 && x.Pieces == 0 && x.Out == 0 }); err != nil {
-		t.Errorf("still held: %+v", gws[0].Engine.Tally())
+		t.Errorf("requests or attempts still held: %+v", gws[0].Engine.Tally())
 	}
 	tally := gws[0].Engine.Tally()
 	stop()
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -13,9 +13,10 @@
 	"appleplank/logic"
 )
 
-// zones is a fleet with one node at home and two in another zone, with a budget for what crosses.
-func zones(budget string) fleet.Shape {
-	s := one()
+// zonesShape is a fleet with one node in the gateway's zone and two in another, with a budget for traffic between
+// zones.
+func zonesShape(budget string) fleet.Shape {
+	s := singleVolume()
 	s.Nodes, s.Zones = 3, []int{0, 1, 1}
 	s.Head = strings.Replace(fleet.Head, "worth = 3", "worth = 3, bends = True", 1)
 	s.Volumes[0].Cells = []int{0, 1, 2}
@@ -24,18 +25,19 @@
 	return s
 }
 
-// The ledger, what the connections counted, and what the nodes counted agree to the byte; and it outlasts a restart.
+// TestCrossedBytes checks that the ledger, the connections' counters and the nodes' counters agree to the byte, and
+// that the ledger is restored after a restart.
 func TestCrossedBytes(t *testing.T) {
 	for name, cfg := range map[string]standin.NodeConfig{"in capsule": fleet.Fast(), "by transfers, digests": {Digests: true, Align: 32, Plain: true}} {
 		t.Run(name, func(t *testing.T) {
-			s := zones("bounds(digests = True)\n")
+			s := zonesShape("bounds(digests = True)\n")
 			s.Node = cfg
 			f, err := fleet.New(t.TempDir(), s)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer f.Close()
-			g, stop := start(t, f.Settings[0])
+			g, stop := startGateway(t, f.Settings[0])
 			cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 2, Depth: 8, MostData: 512 << 10}, time.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -68,14 +70,14 @@
 				link += in + out
 			}
 			link -= sum[0] + sum[1]
-			// Setting up three nodes with three queues each takes a known exchange; it does not grow with requests.
+			// The remaining bytes set up three nodes with three queues each; their number does not grow with requests.
 			if link <= 0 || link > 3*64<<10 {
 				t.Errorf("%d bytes belong to no attempt", link)
 			}
 			if attempts < 30 || sum[1] < 20*4096 {
 				t.Errorf("%d attempts, %d bytes crossed", attempts, sum[1])
 			}
-			again, stop := start(t, f.Settings[0])
+			again, stop := startGateway(t, f.Settings[0])
 			defer stop(false)
 			after, _ := again.Engine.Crossing()
 			left := map[int]int64{}
@@ -89,14 +91,15 @@
 	}
 }
 
-// Reports to the other zone are refused first and at once, with the time to come back; saves go on, at home everything
-// does; and what crossed in all, by the nodes' own count, stays within rate, burst and the connections' own.
+// TestCrossingBudget checks that with the budget used up reports to the other zone are refused first and at once, with
+// the time to retry, while saves and all requests within the zone are served. The bytes that crossed, as the nodes
+// count them, stay within rate, burst and the overhead of the connections.
 func TestCrossingBudget(t *testing.T) {
-	s := zones("crossing(rate = KiB(512), burst = KiB(512), hold_back = 0.3)\n")
+	s := zonesShape("crossing(rate = KiB(512), burst = KiB(512), hold_back = 0.3)\n")
 	s.Node = fleet.Fast()
-	f, gws, stop := up(t, s)
+	f, gws, stop := startFleet(t, s)
 	defer stop()
-	time.Sleep(1100 * time.Millisecond) // a gateway that knows of no budget spent before begins with nothing at hand
+	time.Sleep(1100 * time.Millisecond) // without a restored budget a gateway starts with an empty one
 	var before int64
 	for _, n := range f.Nodes[1:] {
 		in, out := n.Bytes()
@@ -146,7 +149,7 @@
 		t.Errorf("saves %v, reports %v (served, refused, failed)", got[0], got[1])
 	}
 	if advised != got[1][block.Refused] {
-		t.Errorf("%d of %d refusals say when to come back", advised, got[1][block.Refused])
+		t.Errorf("%d of %d refusals carry a time to retry", advised, got[1][block.Refused])
 	}
 	if most := int64((512 + 512*took + 256 + 64) * 1024); crossed > most {
 		t.Errorf("%d bytes crossed in %.2f s, at most %d", crossed, took, most)
@@ -160,6 +163,6 @@
 		t.Errorf("a report at home: status %d, %v", r.Status, err)
 	}
 	if _, m := gws[0].Engine.Crossing(); m.Short > 512<<10 {
-		t.Errorf("%.0f bytes at hand", m.Short)
+		t.Errorf("%.0f bytes in the budget, more than its burst", m.Short)
 	}
 }
--- a/internal/gateway/dav_bench_test.go
+++ b/internal/gateway/dav_bench_test.go
@@ -21,8 +21,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// folder serves a plain folder: GET by the standard library, PUT synced and renamed into place.
-func folder(dir string) http.Handler {
+// folderHandler serves a plain folder: GET by the standard library, PUT with a sync and a rename into place.
+func folderHandler(dir string) http.Handler {
 	files := http.FileServer(http.Dir(dir))
 	var n atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,18 +50,18 @@
 	})
 }
 
-// GET and PUT against a plain folder in the same run, and a GET's bytes by a ring: ratios of time. The nodes answer at
-// once, so this is what the software costs.
+// BenchmarkDav reports the time of GET and PUT relative to a plain folder in the same run, and of GET relative to
+// reading the same bytes by a ring. The nodes answer at once, so the ratios show the cost of the software.
 func BenchmarkDav(b *testing.B) {
-	f, g, w := files(b, func(s *fleet.Shape) {
+	f, g, w := startFiles(b, func(s *fleet.Shape) {
 		s.Volumes[1].Extent = 128 << 20
 		s.Head = strings.ReplaceAll(fleet.Head, "deadline = s(2)", "deadline = s(20)")
 	})
 	w.http.Transport.(*http.Transport).MaxIdleConnsPerHost = 64
 	dir := b.TempDir()
-	plain := httptest.NewServer(folder(dir))
+	plain := httptest.NewServer(folderHandler(dir))
 	defer plain.Close()
-	p := &web{t: b, base: plain.URL, user: "ann", http: w.http}
+	p := &webClient{t: b, base: plain.URL, user: "ann", http: w.http}
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 4, MostData: 1 << 20}, time.Second)
 	if err != nil {
 		b.Fatal(err)
@@ -95,7 +95,7 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("%d KiB by %d", x.size>>10, clients), func(b *testing.B) {
-				method := func(w *web, path, method, body string, code ...int) func(c int) error {
+				method := func(w *webClient, path, method, body string, code ...int) func(c int) error {
 					return func(c int) error {
 						got, text, _ := w.do(method, fmt.Sprintf("%s/%d-%d", path, x.size, c), body)
 						for _, k := range code {
@@ -157,9 +157,10 @@
 	})
 }
 
-// The p99 of saves on a ring beside files at three times the saves' load, over that without, in one run.
+// BenchmarkRingBesideDav reports the p99 of saves on a ring beside file requests at three times their rate, relative to
+// the p99 without these, in one run.
 func BenchmarkRingBesideDav(b *testing.B) {
-	f, _, w := files(b, func(s *fleet.Shape) { s.Node.Base, s.Node.Cores = 2*time.Millisecond, 4 })
+	f, _, w := startFiles(b, func(s *fleet.Shape) { s.Node.Base, s.Node.Cores = 2*time.Millisecond, 4 })
 	w.http.Transport.(*http.Transport).MaxIdleConnsPerHost = 64
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 16, MostData: 4096}, time.Second)
 	if err != nil {
--- a/internal/gateway/dav_test.go
+++ b/internal/gateway/dav_test.go
@@ -21,13 +21,13 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// filed is a fleet whose gateway serves files.
-func filed(t testing.TB) fleet.Shape {
+// filesShape is a fleet whose gateway serves files over WebDAV.
+func filesShape(t testing.TB) fleet.Shape {
 	hash, err := bcrypt.GenerateFromPassword([]byte("secret"), bcrypt.MinCost)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := one()
+	s := singleVolume()
 	s.Nodes = 3
 	s.Node.Volatile = true
 	s.Volumes = append(s.Volumes, fleet.Volume{Name: "files", Plan: "priority", Cells: []int{0, 1, 2, 0}, Extent: 8 << 20, Table: "TABLE",
@@ -40,10 +40,10 @@
 	return s
 }
 
-// files starts a fleet with a gateway that serves files, and a client of them; both end with the test.
-func files(t testing.TB, change func(s *fleet.Shape)) (*fleet.Fleet, *gateway.Gateway, *web) {
+// startFiles starts a fleet with a gateway that serves files, and a client for them; both stop at the end of the test.
+func startFiles(t testing.TB, change func(s *fleet.Shape)) (*fleet.Fleet, *gateway.Gateway, *webClient) {
 	t.Helper()
-	s := filed(t)
+	s := filesShape(t)
 	if change != nil {
 		change(&s)
 	}
@@ -52,24 +52,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close() })
-	g, stop := start(t, f.Settings[0])
+	g, stop := startGateway(t, f.Settings[0])
 	t.Cleanup(func() { stop(false) })
-	w := newWeb(t, g)
+	w := newWebClient(t, g)
 	t.Cleanup(w.close)
 	return f, g, w
 }
 
-// web is a client of the gateway's files.
-type web struct {
+// webClient is an HTTP client for the gateway's files.
+type webClient struct {
 	t    testing.TB
 	base string
 	user string
 	http http.Client
 }
 
-func newWeb(t testing.TB, g *gateway.Gateway) *web {
-	w := &web{t: t, base: "http://" + g.Dav.Addresses()[0], user: "ann", http: http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}}
-	// After a start that followed no end by itself new objects are refused until nothing of before can land.
+func newWebClient(t testing.TB, g *gateway.Gateway) *webClient {
+	w := &webClient{t: t, base: "http://" + g.Dav.Addresses()[0], user: "ann", http: http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}}
+	// After a crash new objects are refused until no write of the earlier process can reach a node any more.
 	if err := fleet.Eventually(5*time.Second, func() bool { code, _, _ := w.do("PUT", "/f/ready", "x"); return code == 201 || code == 204 }); err != nil {
 		t.Fatal("no file can be written")
 	}
@@ -77,8 +77,8 @@
 	return w
 }
 
-// do sends a request; header is pairs.
-func (w *web) do(method, path, body string, header ...string) (int, string, http.Header) {
+// do sends a request; header holds pairs of name and value.
+func (w *webClient) do(method, path, body string, header ...string) (int, string, http.Header) {
 	w.t.Helper()
 	r, err := http.NewRequest(method, w.base+path, strings.NewReader(body))
 	if err != nil {
@@ -100,7 +100,7 @@
 	return a.StatusCode, string(b), a.Header
 }
 
-func (w *web) want(code int, method, path, body string, header ...string) (string, http.Header) {
+func (w *webClient) want(code int, method, path, body string, header ...string) (string, http.Header) {
 	w.t.Helper()
 	got, text, h := w.do(method, path, body, header...)
 	if got != code {
@@ -109,18 +109,18 @@
 	return text, h
 }
 
-func (w *web) close() { w.http.CloseIdleConnections() }
+func (w *webClient) close() { w.http.CloseIdleConnections() }
 
-// The whole path with a plain HTTP client, down to the nodes: files, folders, ranges, conditions, properties, locks, copies
-// and moves, who may do what; and what is refused.
+// TestDav checks the path from an HTTP client to the nodes: files, folders, ranges, conditions, properties, locks,
+// copies, moves, permissions, and requests that must be refused.
 func TestDav(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), filed(t))
+	f, err := fleet.New(t.TempDir(), filesShape(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	g, stop := start(t, f.Settings[0])
-	w := newWeb(t, g)
+	g, stop := startGateway(t, f.Settings[0])
+	w := newWebClient(t, g)
 	data := make([]byte, 3<<20+777)
 	rand.NewChaCha8([32]byte{1}).Read(data)
 	big := string(data)
@@ -220,7 +220,7 @@
 	free := h.Get("Lock-Token")
 	w.want(409, "UNLOCK", "/f/free", "", "Lock-Token", "<urn:uuid:other>")
 	w.want(204, "UNLOCK", "/f/free", "", "Lock-Token", free)
-	// Who may.
+	// Permissions.
 	w.user = "bob"
 	w.want(200, "GET", "/f/free", "")
 	w.want(403, "PUT", "/f/free", "x")
@@ -228,11 +228,11 @@
 	w.user = "eve"
 	w.want(401, "GET", "/f/free", "")
 	w.user = "ann"
-	// All of it over a restart, locks too.
+	// Files and locks outlast a restart.
 	w.close()
 	stop(false)
-	g, stop = start(t, f.Settings[0])
-	w = newWeb(t, g)
+	g, stop = startGateway(t, f.Settings[0])
+	w = newWebClient(t, g)
 	defer w.close()
 	w.want(423, "PUT", "/f/m/new", "y")
 	w.want(204, "PUT", "/f/m/new", "y", "If", "(<"+token+">)")
@@ -249,9 +249,10 @@
 	stop(false)
 }
 
-// A file is seen whole, old or new, by readers that go on while it is written anew and deleted; and no space is lost.
+// TestDavWhole checks that concurrent readers see a file either as it was or as it is after an overwrite or a deletion,
+// never a mix, and that no space leaks.
 func TestDavWhole(t *testing.T) {
-	_, g, w := files(t, nil)
+	_, g, w := startFiles(t, nil)
 	content := func(n int) string { return strings.Repeat(fmt.Sprintf("%07d\n", n), 100_000) }
 	w.want(201, "PUT", "/f/x", content(0))
 	var wg sync.WaitGroup
@@ -305,22 +306,22 @@
 
 var davKills = flag.Int("dav-kills", 8, "kills of the test of files")
 
-// Gateways killed at any time of PUT, MOVE, DELETE and MKCOL: what was answered is there, the rest whole or absent, the
-// catalogue is sound, and no space is lost.
+// TestDavKilled kills gateways at any point of PUT, MOVE and DELETE: changes that were answered are there, others are
+// complete or absent, the catalogue is consistent, and no space leaks.
 func TestDavKilled(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), filed(t))
+	f, err := fleet.New(t.TempDir(), filesShape(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	rng := rand.New(rand.NewPCG(3, 4))
-	state, open := map[string]int{}, map[string]int{} // what was answered; what a cut-off PUT would have made of it
-	unsure := map[string]bool{}                       // a cut-off DELETE or MOVE
+	state, open := map[string]int{}, map[string]int{} // by path: the content answered; the content of a PUT cut off before its answer
+	unsure := map[string]bool{}                       // by path: a DELETE or MOVE was cut off before its answer
 	content := func(n int) string { return fmt.Sprintf("%07d\n", n) + strings.Repeat("x", n%9*40_000) }
 	next := 0
 	for round := range *davKills {
-		g, stop := start(t, f.Settings[0])
-		w := newWeb(t, g)
+		g, stop := startGateway(t, f.Settings[0])
+		w := newWebClient(t, g)
 		time.Sleep(60 * time.Millisecond)
 		for p := range map[string]bool{"/f/a": true, "/f/b": true, "/f/c": true} {
 			code, got, _ := w.do("GET", p, "")
@@ -339,7 +340,7 @@
 		clear(open)
 		clear(unsure)
 		done := make(chan struct{})
-		enough := make(chan struct{}) // a kill waits for this many requests, however slow the machine is
+		enough := make(chan struct{}) // closed after four requests; the kill waits for them, however slow the machine is
 		go func() {
 			defer close(done)
 			for asked := 0; ; asked++ {
@@ -348,7 +349,7 @@
 				}
 				p := "/f/" + string(rune('a'+rng.IntN(3)))
 				switch rng.IntN(5) {
-				case 1: // over another name, or a free one
+				case 1: // to a name in use or a free one
 					to := "/f/" + string(rune('a'+rng.IntN(3)))
 					if to == p {
 						continue
@@ -402,11 +403,11 @@
 		}
 		cat.Close()
 	}
-	if next < *davKills { // of four requests in five, and four a round
+	if next < *davKills { // four in five requests are puts, and a round has at least four requests
 		t.Errorf("%d puts", next)
 	}
-	g, stop := start(t, f.Settings[0])
-	w := newWeb(t, g)
+	g, stop := startGateway(t, f.Settings[0])
+	w := newWebClient(t, g)
 	for p := range map[string]bool{"/f/a": true, "/f/b": true, "/f/c": true} {
 		w.do("DELETE", p, "")
 	}
@@ -417,9 +418,10 @@
 	stop(false)
 }
 
-// Clients that stall, leave, send headers without end or take nothing hold up nobody else and leave nothing behind.
+// TestDavSlowClients checks that clients that stall, disconnect, send endless headers or read nothing neither delay
+// others nor leak anything.
 func TestDavSlowClients(t *testing.T) {
-	_, g, w := files(t, nil)
+	_, g, w := startFiles(t, nil)
 	w.want(201, "PUT", "/f/x", strings.Repeat("x", 4<<20))
 	var slow []net.Conn
 	address := g.Dav.Addresses()[0]
@@ -431,9 +433,9 @@
 		slow = append(slow, c)
 		auth := "Authorization: Basic YW5uOnNlY3JldA==\r\nHost: x\r\n"
 		switch i % 3 {
-		case 0: // takes nothing of what it has asked for
+		case 0: // reads nothing of the answer
 			fmt.Fprintf(c, "GET /f/x HTTP/1.1\r\n%s\r\n", auth)
-		case 1: // stops in the middle of what it sends
+		case 1: // stops in the middle of its body
 			fmt.Fprintf(c, "PUT /f/slow%d HTTP/1.1\r\n%sContent-Length: 1000000\r\n\r\nsome", i, auth)
 		case 2:
 			fmt.Fprintf(c, "GET /f/x HTTP/1.1\r\n%sX: %s", auth, strings.Repeat("y", 80<<10))
@@ -455,18 +457,18 @@
 	}
 	w.want(204, "DELETE", "/f/x", "")
 	if err := fleet.Eventually(5*time.Second, func() bool { _, used := g.Engine.Space(1); return used == 0 }); err != nil {
-		t.Error("what slow clients had begun is not given back")
+		t.Error("the space of unfinished uploads is not released")
 	}
 	if code, _, _ := w.do("GET", "/f/slow1", ""); code != 404 {
-		t.Errorf("a file that was never sent whole: %d", code)
+		t.Errorf("a file that was never sent completely: status %d", code)
 	}
 }
 
-// Nodes die in the middle of a GET and of a PUT. The GET's connection breaks, and is never padded or ended as if all were there; the PUT
-// is not answered as done, and the file is as it was. Before the
-// first byte it is an answer that says when to come back.
+// TestDavNodeDies crashes the nodes in the middle of a GET and of a PUT. The GET's connection must break: its body is
+// neither padded nor ended as if complete. The PUT must not succeed, and the file keeps its content. A GET that fails
+// before the first byte is answered with a time to retry.
 func TestDavNodeDies(t *testing.T) {
-	f, g, w := files(t, func(s *fleet.Shape) { s.Node.Base = 5 * time.Millisecond })
+	f, g, w := startFiles(t, func(s *fleet.Shape) { s.Node.Base = 5 * time.Millisecond })
 	want := strings.Repeat("0123456789abcdef", 10<<16)
 	w.want(201, "PUT", "/f/x", want)
 	_, used := g.Engine.Space(1)
@@ -478,7 +480,7 @@
 	}
 	head := make([]byte, 1000)
 	io.ReadFull(a.Body, head)
-	// A PUT that has sent half of what it is to bring.
+	// This PUT has sent half of its body.
 	body, feed := io.Pipe()
 	half := make(chan int, 1)
 	go func() {
@@ -523,13 +525,14 @@
 		t.Error("the file is not as it was once the nodes are back")
 	}
 	if err := fleet.Eventually(5*time.Second, func() bool { _, now := g.Engine.Space(1); return now == used }); err != nil {
-		t.Error("what the PUT had begun is not given back")
+		t.Error("the space of the unfinished PUT is not released")
 	}
 }
 
-// Files and a disk on one account at three times its plan's limit together: what the nodes were sent stays within it.
+// TestDavSharesLimit checks that files and a disk on one account share its plan's limit: with three times the limit
+// requested in total, the commands that the nodes receive stay within it.
 func TestDavSharesLimit(t *testing.T) {
-	f, _, w := files(t, func(s *fleet.Shape) {
+	f, _, w := startFiles(t, func(s *fleet.Shape) {
 		s.Node.Record = true
 		s.Volumes[0].Plan, s.Volumes[1].Plan = "basic", "basic"
 		s.Volumes[1].More += " account = \"orders\","
@@ -545,7 +548,7 @@
 		return n
 	}
 	before, began := sent(), time.Now()
-	const limit, burst, slack, run = 120, 60, 12, 1500 * time.Millisecond // of the plan "basic"
+	const limit, burst, slack, run = 120, 60, 12, 1500 * time.Millisecond // as in the plan "basic"
 	var served [2]int
 	limited := 0
 	var wg sync.WaitGroup
@@ -590,9 +593,9 @@
 
 var entries = flag.Int("entries", 2000, "names of the test of a full folder, and a tenth as many locks")
 
-// A folder of many names is listed whole and in order, in little memory, beside many locks.
+// TestDavFullFolder checks that a folder of many names and many locks is listed completely and in order.
 func TestDavFullFolder(t *testing.T) {
-	_, _, w := files(t, nil)
+	_, _, w := startFiles(t, nil)
 	w.http.Timeout = time.Minute
 	w.http.Transport.(*http.Transport).MaxIdleConnsPerHost = 32
 	w.want(201, "MKCOL", "/f/full", "")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -179,8 +179,8 @@
 		nodeGroup.Go(func() error { g.savePeriodically(backCtx); return nil })
 		nodeGroup.Go(func() error { return g.listenControl(backCtx) })
 	}
-	// Requests that arrive before the nodes are connected would find all of them down, and logic does not use a node again
-	// for some time after that.
+	// Requests that arrive before the nodes are connected would find all of them down, and logic does not use a node
+	// again for some time after that.
 	g.awaitNodes(ctx)
 	var ringGroup errgroup.Group
 	ringGroup.Go(func() error { return g.Rings.Serve(g.frontCtx) })
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// up starts a fleet and its gateways in this process; stop drains and ends them.
-func up(t testing.TB, shape fleet.Shape) (f *fleet.Fleet, gws []*gateway.Gateway, stop func()) {
+// startFleet starts a fleet and its gateways in this process; stop drains the gateways and closes the fleet.
+func startFleet(t testing.TB, shape fleet.Shape) (f *fleet.Fleet, gws []*gateway.Gateway, stop func()) {
 	t.Helper()
 	dir := t.TempDir()
 	f, err := fleet.New(dir, shape)
@@ -65,13 +65,13 @@
 	}
 }
 
-func one() fleet.Shape {
+func singleVolume() fleet.Shape {
 	return fleet.Shape{Nodes: 2, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head,
 		Volumes: []fleet.Volume{{Name: "orders", Plan: "priority", Cells: []int{0, 1, 0}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE"}}}
 }
 
-// The whole path, as a driver sees it: what is written is read, over the ends of extents, by every kind of ring; and
-// it lies on the nodes where the settings say.
+// TestWholePath checks the path from a driver to the nodes: data written is read back, across the boundaries of extents
+// and with every kind of ring, and lies on the nodes that the settings name.
 func TestWholePath(t *testing.T) {
 	for name, c := range map[string]standin.ClientConfig{
 		"plain":     {Queues: 1, Depth: 4, MostData: 1 << 20},
@@ -80,7 +80,7 @@
 		"no flush":  {Queues: 1, Depth: 4, MostData: 1 << 20, NoFlush: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _, stop := up(t, one())
+			f, _, stop := startFleet(t, singleVolume())
 			defer stop()
 			cl, err := f.Dial(0, "orders", c, time.Second)
 			if err != nil {
@@ -102,7 +102,7 @@
 			for i := range data {
 				data[i] = byte(i * 7 >> 3)
 			}
-			at := int64(4<<20 - 300*1024) // over the end of the first extent
+			at := int64(4<<20 - 300*1024) // across the end of the first extent
 			do(1, uint64(at/512), data, len(data))
 			do(4, 0, nil, 0)
 			if got := do(0, uint64(at/512), nil, len(data)); !bytes.Equal(got, data) {
@@ -140,20 +140,20 @@
 				t.Error(err)
 			}
 			if cl.Strange() != 0 {
-				t.Errorf("%d answers that belong to nothing", cl.Strange())
+				t.Errorf("%d answers that match no request", cl.Strange())
 			}
 		})
 	}
 }
 
-// A volume at its bound of buffers, with all its nodes hanging, takes nothing more and waits; another volume through the
-// same gateway goes on, and in the end everything has its answer.
+// TestMemoryBound checks that a volume whose nodes all hang accepts no requests beyond its limit of buffer memory,
+// while another volume of the same gateway is served, and that every request is answered in the end.
 func TestMemoryBound(t *testing.T) {
 	s := fleet.Shape{Nodes: 2, Gateways: 1, Node: standin.NodeConfig{Base: time.Microsecond}, Head: fleet.Head, More: "bounds(request = KiB(512))\n",
 		Volumes: []fleet.Volume{
 			{Name: "full", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE", More: "memory = MiB(1),"},
 			{Name: "other", Plan: "priority", Cells: []int{1}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE"}}}
-	f, gws, stop := up(t, s)
+	f, gws, stop := startFleet(t, s)
 	defer stop()
 	f.Nodes[0].Set(func(t *standin.Trouble) { t.Hang = true })
 	full, err := f.Dial(0, "full", standin.ClientConfig{Queues: 1, Depth: 12, MostData: 256 << 10}, time.Second)
@@ -188,9 +188,10 @@
 	}
 }
 
-// The bound on a volume's clients: further ones wait at the socket, and come in as others leave.
+// TestClientBound checks the maximum of clients of a volume: further ones wait at the socket and are accepted as others
+// disconnect.
 func TestClientBound(t *testing.T) {
-	f, gws, stop := up(t, one())
+	f, gws, stop := startFleet(t, singleVolume())
 	defer stop()
 	var in []*standin.Client
 	for range 8 {
@@ -220,7 +221,7 @@
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the ninth client never came in")
+		t.Error("the ninth client was never accepted")
 	}
 	for _, c := range in {
 		c.Vanish()
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -10,10 +10,11 @@
 	"appleplank/internal/standin"
 )
 
-// Reads that a link held arrive when the limit's store has long been full: the volume's slice must not have refilled.
+// TestLimitHoldsAfterALinkHeldReads guards against a limit that refills while a link delays reads: these reach the
+// nodes after the limit's bucket has filled up, and the volume's share of it must not have been refilled as well.
 func TestLimitHoldsAfterALinkHeldReads(t *testing.T) {
 	const rate, burst, slack, jitter = 20.0, 20.0, 2.0, 0.1
-	s := one()
+	s := singleVolume()
 	s.Links, s.Zones = true, []int{0, 1}
 	s.Node.Record = true
 	s.Head = strings.NewReplacer("limit = 120, limit_burst = 60, limit_slack = 12", "limit = 20, limit_burst = 20, limit_slack = 2",
@@ -24,7 +25,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	_, stop := start(t, f.Settings[0])
+	_, stop := startGateway(t, f.Settings[0])
 	defer stop(false)
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 64, MostData: 4096}, 5*time.Second)
 	if err != nil {
@@ -41,7 +42,7 @@
 			}
 		}
 	}
-	time.Sleep(time.Duration((burst + slack) / rate * float64(time.Second))) // the slice is full
+	time.Sleep(time.Duration((burst + slack) / rate * float64(time.Second))) // the share is full
 	link := f.Link(0, 1)
 	link.Set(func(s *standin.LinkState) { s.CutThere = true })
 	read(1, 8)
@@ -59,7 +60,7 @@
 	if len(arrivals) < 28 {
 		t.Fatalf("%d requests arrived, fewer than the limit allows at once", len(arrivals))
 	}
-	if least := leastInStore(arrivals, rate, burst); least < -slack-rate*jitter {
+	if least := minBucketLevel(arrivals, rate, burst); least < -slack-rate*jitter {
 		t.Errorf("the limit's store went to %.1f, slack is %.0f", least, slack)
 	}
 }
--- a/internal/gateway/lostzone_test.go
+++ b/internal/gateway/lostzone_test.go
@@ -15,8 +15,8 @@
 
 var seeds = flag.Int("seeds", 1, "seeds of the measurement of a lost zone")
 
-// lostHead is the settings of the measurement: saves, reads and reports.
-const lostHead = `
+// lostZoneSettings holds the settings of the benchmark: classes for saves, reads and reports.
+const lostZoneSettings = `
 class_(name = "save", aim = ms(300), deadline = s(2), worth = 3, late_share = 0.2, in_order = True, writes = True, bends = True)
 class_(name = "read", aim = ms(250), deadline = s(2), worth = 2, late_share = 0.2)
 class_(name = "report", aim = s(1), deadline = s(3), worth = 1, late_share = 0.1)
@@ -29,20 +29,20 @@
     dict(kind = "flush", class_ = "save"), dict(kind = "discard", class_ = "save"), dict(kind = "write_zeroes", class_ = "save")]
 `
 
-var lostClasses = []struct {
+var lostZoneClasses = []struct {
 	name  string
 	kind  uint32
 	size  int
-	rate  float64 // a second through each gateway
+	rate  float64 // requests per second through each gateway
 	aim   time.Duration
 	worth float64
 }{{"save", 1, 4 << 10, 80, 300 * time.Millisecond, 3}, {"read", 0, 16 << 10, 150, 250 * time.Millisecond, 2}, {"report", 0, 256 << 10, 16, time.Second, 1}}
 
-// lostZone plays the loss of four of a zone's seven nodes and gives for the gateway of that zone the part of each class's
-// worth that was served in time while they were away, and the bytes that crossed by class; most is the most bytes that all
-// gateways together crossed in a second.
-func lostZone(b *testing.B, seed uint64, budget string, mirrors bool) (service [3]float64, crossed map[int]int64, most float64) {
-	s := fleet.Shape{Nodes: 14, Gateways: 2, At: []int{0, 1}, Links: true, Listed: true, Head: lostHead,
+// measureLostZone simulates the loss of four of a zone's seven nodes. For the gateway of that zone it returns the share
+// of each class's requests served in time while the nodes were away, and the bytes that crossed zones by class; most is
+// the maximum of bytes that all gateways together sent across zones in a second.
+func measureLostZone(b *testing.B, seed uint64, budget string, mirrors bool) (service [3]float64, crossed map[int]int64, most float64) {
+	s := fleet.Shape{Nodes: 14, Gateways: 2, At: []int{0, 1}, Links: true, Listed: true, Head: lostZoneSettings,
 		Gateway: ", unit_mean = 1.2, unit_top = 4, max_attempts = 4",
 		More:    "state(dir = \"kept-%s\")\n" + budget,
 		Node: standin.NodeConfig{Cores: 2, Base: 8 * time.Millisecond, PerKiB: 60 * time.Microsecond, QueueMost: 64, ColdFrom: 0.2, ColdTime: 3 * time.Second,
@@ -63,7 +63,7 @@
 	for i := range 14 {
 		s.Zones = append(s.Zones, i/7)
 	}
-	f, gws, stop := up(b, s)
+	f, gws, stop := startFleet(b, s)
 	defer stop()
 	for _, z := range []int{0, 1} {
 		f.Link(z, 1-z).Set(func(s *standin.LinkState) { s.Delay, s.Jitter = 2*time.Millisecond, time.Millisecond })
@@ -74,7 +74,7 @@
 	var got, due [3]float64
 	var wg sync.WaitGroup
 	for g := range 2 {
-		for k, c := range lostClasses {
+		for k, c := range lostZoneClasses {
 			cl, err := f.Dial(g, fmt.Sprint("v", g), standin.ClientConfig{Queues: 1, Depth: 64, MostData: 256 << 10, Advice: true}, 2*time.Second)
 			if err != nil {
 				b.Fatal(err)
@@ -163,7 +163,8 @@
 	return service, crossed, most
 }
 
-// What a zone's clients get while it has lost four of its seven nodes, by how what crosses is bounded. Not timed.
+// BenchmarkLostZone reports the service of a zone's clients while four of its seven nodes are lost, for several limits
+// on the traffic between zones. It does not report time per operation.
 func BenchmarkLostZone(b *testing.B) {
 	const rate = "crossing(rate = MiB(2), burst = MiB(2), hold_back = %v, lost = 0.5, bend = %v, bend_for = s(60))\n"
 	for _, x := range []struct {
@@ -177,7 +178,7 @@
 			bytes := map[int]float64{}
 			most := 0.0
 			for seed := range *seeds {
-				service, crossed, m := lostZone(b, uint64(seed)+1, x.budget, x.mirrors)
+				service, crossed, m := measureLostZone(b, uint64(seed)+1, x.budget, x.mirrors)
 				b.Logf("seed %d: save %.3f read %.3f report %.3f; crossed MiB save %.1f read %.1f report %.1f copy %.1f; most in a second %.1f MiB", seed+1,
 					service[0], service[1], service[2], float64(crossed[0])/(1<<20), float64(crossed[1])/(1<<20), float64(crossed[2])/(1<<20),
 					float64(crossed[3])/(1<<20), m/(1<<20))
@@ -190,7 +191,7 @@
 				most = max(most, m)
 			}
 			worth, due := 0.0, 0.0
-			for k, c := range lostClasses {
+			for k, c := range lostZoneClasses {
 				b.ReportMetric(sum[k]/float64(*seeds), c.name)
 				worth += c.rate * c.worth * sum[k] / float64(*seeds)
 				due += c.rate * c.worth
--- a/internal/gateway/mirror_test.go
+++ b/internal/gateway/mirror_test.go
@@ -18,9 +18,9 @@
 	"appleplank/internal/standin"
 )
 
-// mirrored is a fleet with a copy of everything in two zones, the gateway in zone 0.
-func mirrored(hold int, more string) fleet.Shape {
-	s := one()
+// mirroredShape is a fleet with a copy of all data in each of two zones and the gateway in zone 0.
+func mirroredShape(hold int, more string) fleet.Shape {
+	s := singleVolume()
 	s.Nodes, s.Zones = 4, []int{0, 0, 1, 1}
 	s.Node = fleet.Fast()
 	s.Node.Volatile = true
@@ -34,8 +34,8 @@
 	return s
 }
 
-// whole waits until all copies are whole.
-func whole(t *testing.T, g *gateway.Gateway) {
+// waitUntilWhole waits until no copy is stale any more.
+func waitUntilWhole(t *testing.T, g *gateway.Gateway) {
 	t.Helper()
 	if err := fleet.Eventually(20*time.Second, func() bool {
 		for _, m := range g.Engine.Mirrors() {
@@ -45,12 +45,12 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("copies are not whole: %+v", g.Engine.Mirrors())
+		t.Fatalf("copies are still stale: %+v", g.Engine.Mirrors())
 	}
 }
 
-// alike checks that all copies of a volume hold the same at the nodes.
-func alike(t *testing.T, f *fleet.Fleet, volume int) {
+// checkCopiesEqual checks that all copies of a volume hold the same data at the nodes.
+func checkCopiesEqual(t *testing.T, f *fleet.Fleet, volume int) {
 	t.Helper()
 	for at := int64(0); at < f.Shape.Volumes[volume].Size(); at += 4096 {
 		var first []byte
@@ -66,13 +66,13 @@
 	}
 }
 
-// writer writes blocks over and over and knows what each must hold at least.
+// writer writes blocks repeatedly and records the oldest value that each may hold.
 type writer struct {
 	t              testing.TB
 	cl             *standin.Client
 	served, failed int
-	acked          map[int64]uint64 // by block, the last value served
-	open           map[int64]uint64 // a later one that was not
+	acked          map[int64]uint64 // by offset: the last value whose write was served
+	unconfirmed    map[int64]uint64 // by offset: a later value whose write was not served
 	n              uint64
 	rng            *rand.Rand
 }
@@ -87,11 +87,11 @@
 	if err == nil && r.Status == 0 {
 		w.served++
 		w.acked[at] = w.n
-		delete(w.open, at)
+		delete(w.unconfirmed, at)
 		return true
 	}
 	w.failed++
-	w.open[at] = w.n
+	w.unconfirmed[at] = w.n
 	return false
 }
 
@@ -101,7 +101,7 @@
 		return false
 	}
 	got := binary.LittleEndian.Uint64(r.Data)
-	if open, ok := w.open[at]; got < w.acked[at] || got > w.acked[at] && (!ok || got > open) {
+	if open, ok := w.unconfirmed[at]; got < w.acked[at] || got > w.acked[at] && (!ok || got > open) {
 		w.t.Errorf("block at %d holds %d, %d was served", at, got, w.acked[at])
 	}
 	return true
@@ -119,13 +119,13 @@
 }
 
 func newWriter(t testing.TB, cl *standin.Client) *writer {
-	return &writer{t: t, cl: cl, acked: map[int64]uint64{}, open: map[int64]uint64{}, rng: rand.New(rand.NewPCG(1, 2))}
+	return &writer{t: t, cl: cl, acked: map[int64]uint64{}, unconfirmed: map[int64]uint64{}, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
-// A node with copies of everything dies and comes back without what it had not stored; meanwhile writes go on, reads
-// never give what was overwritten, and afterwards its copies are caught up. The same for a zone's nodes one by one.
+// TestMirrorNodeDies crashes a node of each zone in turn; the node returns without the data that it had not yet stored.
+// Meanwhile writes are served, reads never return overwritten data, and afterwards the node's copies are caught up.
 func TestMirrorNodeDies(t *testing.T) {
-	f, gws, stop := up(t, mirrored(1, ""))
+	f, gws, stop := startFleet(t, mirroredShape(1, ""))
 	defer stop()
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 4, MostData: 64 << 10}, time.Second)
 	if err != nil {
@@ -146,14 +146,14 @@
 			t.Fatal(err)
 		}
 		w.work(time.Now().Add(300*time.Millisecond), size)
-		whole(t, gws[0])
+		waitUntilWhole(t, gws[0])
 	}
 	for at := int64(0); at < size; at += 4096 {
 		if !w.read(at) {
 			t.Fatalf("read at %d was not served", at)
 		}
 	}
-	alike(t, f, 0)
+	checkCopiesEqual(t, f, 0)
 	var moves uint64
 	for _, m := range gws[0].Engine.Mirrors() {
 		moves += m.Tally.Moves
@@ -163,10 +163,10 @@
 	}
 }
 
-// A change that must be held by two copies is refused at once, with advice, and nothing of it done, while only one is
-// whole and in reach.
+// TestMirrorHoldsTwo checks that a change that two copies must hold is refused at once, with a time to retry and
+// without effect, while only one copy is whole and reachable.
 func TestMirrorHoldsTwo(t *testing.T) {
-	f, gws, stop := up(t, mirrored(2, ""))
+	f, gws, stop := startFleet(t, mirroredShape(2, ""))
 	defer stop()
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 4, MostData: 64 << 10, Advice: true}, time.Second)
 	if err != nil {
@@ -177,7 +177,7 @@
 	if !w.write(0) {
 		t.Fatalf("not served with both copies there: %+v, %+v", gws[0].Engine.Tally(), gws[0].Engine.Mirrors())
 	}
-	alike(t, f, 0)
+	checkCopiesEqual(t, f, 0)
 	f.Nodes[2].Drain(true)
 	if err := fleet.Eventually(2*time.Second, func() bool {
 		r, err := cl.Do(0, 1, 64, make([]byte, 4096), 4096)
@@ -192,16 +192,16 @@
 	if err := fleet.Eventually(5*time.Second, func() bool { return w.write(0) }); err != nil {
 		t.Error("not served with both copies back")
 	}
-	whole(t, gws[0])
-	alike(t, f, 0)
+	waitUntilWhole(t, gws[0])
+	checkCopiesEqual(t, f, 0)
 }
 
 var mirrorKills = flag.Int("mirror-kills", 12, "kills of the test of copies")
 
-// Gateways that are killed at any time, also between the sends to two copies: after each start what was answered stands,
-// reads never go back, and the copies become alike.
+// TestMirrorGatewayKilled kills gateways at any time, also between the writes to two copies. After each start all
+// answered writes are there, reads never return an older value than before, and the copies become equal.
 func TestMirrorGatewayKilled(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), mirrored(1, ""))
+	f, err := fleet.New(t.TempDir(), mirroredShape(1, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,11 +212,11 @@
 	var stop func(bool)
 	rng := rand.New(rand.NewPCG(5, 6))
 	for round := range *mirrorKills {
-		g, stop = start(t, f.Settings[0])
+		g, stop = startGateway(t, f.Settings[0])
 		if w.cl, err = f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 4, MostData: 64 << 10}, time.Second); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(60 * time.Millisecond) // changes rest after a kill
+		time.Sleep(60 * time.Millisecond) // changes are refused for a while after a kill
 		for at := range w.acked {
 			w.read(at)
 		}
@@ -228,11 +228,11 @@
 			w.work(until, spread)
 		}()
 		time.Sleep(time.Duration(10+rng.IntN(120)) * time.Millisecond)
-		if round%3 == 2 { // a node dies with the gateway
+		if round%3 == 2 { // a node crashes together with the gateway
 			f.Nodes[2].Crash()
 		}
 		stop(true)
-		w.cl.Vanish() // what is out is never answered
+		w.cl.Vanish() // requests in flight are never answered
 		wg.Wait()
 		if round%3 == 2 {
 			if err := f.Nodes[2].Up(false); err != nil {
@@ -243,22 +243,22 @@
 	if w.served < 100 {
 		t.Errorf("only %d writes were served", w.served)
 	}
-	g, stop = start(t, f.Settings[0])
+	g, stop = startGateway(t, f.Settings[0])
 	defer stop(false)
-	whole(t, g)
-	alike(t, f, 0)
+	waitUntilWhole(t, g)
+	checkCopiesEqual(t, f, 0)
 }
 
-var cut = flag.Duration("cut", 2500*time.Millisecond, "how long the link between two zones is cut")
+var cutDuration = flag.Duration("cut", 2500*time.Millisecond, "how long the link between two zones is cut")
 
-// The link to the other zone is cut for a while with both sides alive, both ways and one way, and flaps: what has a copy
-// at home is served all the time and every request is answered in time; afterwards the copies are caught up, and what
-// crossed is, on connections that ended in order, what the nodes counted.
+// TestMirrorLinkCut cuts the link to the other zone while both sides run: in both directions, in one direction, and
+// repeatedly. Extents with a copy in the gateway's zone are served throughout, every request is answered in time, and
+// afterwards the copies are caught up.
 func TestMirrorLinkCut(t *testing.T) {
-	s := mirrored(1, "crossing(rate = MiB(64), burst = MiB(64))\ntimes(connect = ms(300), keep_alive = s(2))\n")
+	s := mirroredShape(1, "crossing(rate = MiB(64), burst = MiB(64))\ntimes(connect = ms(300), keep_alive = s(2))\n")
 	s.Links = true
-	s.Volumes[0].Cells, s.Volumes[0].Mirrors = []int{0, 2}, [][]int{{2}, {1}} // one leads at home, one away
-	f, gws, stop := up(t, s)
+	s.Volumes[0].Cells, s.Volumes[0].Mirrors = []int{0, 2}, [][]int{{2}, {1}} // one lead in the gateway's zone, one in the other
+	f, gws, stop := startFleet(t, s)
 	defer stop()
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 4, MostData: 64 << 10}, time.Second)
 	if err != nil {
@@ -274,9 +274,9 @@
 		state standin.LinkState
 		every time.Duration
 	}{{"both ways", standin.LinkState{CutThere: true, CutBack: true}, 0}, {"there", standin.LinkState{CutThere: true}, 0},
-		{"back", standin.LinkState{CutBack: true}, 0}, {"flapping", standin.LinkState{CutThere: true, CutBack: true}, *cut / 10}} {
+		{"back", standin.LinkState{CutBack: true}, 0}, {"flapping", standin.LinkState{CutThere: true, CutBack: true}, *cutDuration / 10}} {
 		served, failed, slowest := w.served, w.failed, time.Duration(0)
-		until := time.Now().Add(*cut)
+		until := time.Now().Add(*cutDuration)
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go func() {
@@ -300,7 +300,7 @@
 			slowest = max(slowest, time.Since(began))
 		}
 		wg.Wait()
-		t.Logf("cut %s for %v: %d writes served, %d not, the slowest step %v", x.name, *cut, w.served-served, w.failed-failed, slowest)
+		t.Logf("cut %s for %v: %d writes served, %d not, the slowest step %v", x.name, *cutDuration, w.served-served, w.failed-failed, slowest)
 		if w.served-served < 20 || w.failed-failed > (w.served-served)/10 {
 			t.Errorf("cut %s: %d writes were served, %d not", x.name, w.served-served, w.failed-failed)
 		}
@@ -308,16 +308,17 @@
 			t.Errorf("cut %s: a request took %v", x.name, slowest)
 		}
 	}
-	whole(t, gws[0])
+	waitUntilWhole(t, gws[0])
 	for at := int64(0); at < size; at += 4096 {
 		w.read(at)
 	}
-	alike(t, f, 0)
+	checkCopiesEqual(t, f, 0)
 }
 
-// A mirrored volume is one gateway's: what a copy missed is known to that one alone.
+// TestMirrorOneGateway checks that the settings refuse a mirrored volume at two gateways: only the gateway that serves
+// it knows which changes a copy has missed.
 func TestMirrorOneGateway(t *testing.T) {
-	s := mirrored(1, "")
+	s := mirroredShape(1, "")
 	s.Gateways = 2
 	s.Volumes[0].Through = []int{0, 1}
 	f, err := fleet.New(t.TempDir(), s)
--- a/internal/gateway/restart_bench_test.go
+++ b/internal/gateway/restart_bench_test.go
@@ -15,7 +15,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkStart is the time from the start of a gateway with a kept state of 46 nodes and 400 volumes to its first answer.
+// BenchmarkStart measures the time from the start of a gateway with a saved state of 46 nodes and 400 volumes to its
+// first answer.
 func BenchmarkStart(b *testing.B) {
 	s := fleet.Shape{Nodes: 46, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head, More: "state(dir = \"kept\")\nbounds(io_queues = 1)\n"}
 	for i := range 400 {
@@ -29,7 +30,7 @@
 	defer f.Close()
 	first := func() time.Duration {
 		began := time.Now()
-		_, stop := start(b, f.Settings[0])
+		_, stop := startGateway(b, f.Settings[0])
 		for {
 			cl, err := f.Dial(0, "v17", standin.ClientConfig{}, time.Second)
 			if err != nil {
@@ -45,7 +46,7 @@
 			}
 		}
 		took := time.Since(began)
-		for i := 0; i < 400; i += 3 { // so that the state has something to keep
+		for i := 0; i < 400; i += 3 { // so that the state has entries for these volumes
 			if cl, err := f.Dial(0, fmt.Sprint("v", i), standin.ClientConfig{}, time.Second); err == nil {
 				cl.Do(0, 0, 0, nil, 4096)
 				cl.Vanish()
@@ -66,9 +67,9 @@
 	b.ReportMetric(float64(sum.Milliseconds())/float64(n), "ms-to-first-answer")
 }
 
-// BenchmarkRestart is a fleet of 14 nodes of which 5 are slow: what a gateway that is restarted with its state, without
-// it, and one that goes on, send to the slow nodes and serve in time in the four seconds that follow. All three run at
-// once, each with nodes of its own.
+// BenchmarkRestart counts, with 5 of 14 nodes slow, the requests sent to the slow nodes and those served in time within
+// four seconds, for a gateway that is restarted with its state, one that is restarted without, and one that keeps
+// running. All three run at once, each with its own nodes.
 func BenchmarkRestart(b *testing.B) {
 	for b.Loop() {
 		var wg sync.WaitGroup
@@ -91,7 +92,7 @@
 			go func() {
 				defer wg.Done()
 				defer f.Close()
-				_, stop := start(b, f.Settings[0])
+				_, stop := startGateway(b, f.Settings[0])
 				load := func(d time.Duration) (asked, inTime int) {
 					cl, err := f.Dial(0, "disk", standin.ClientConfig{Queues: 2, Depth: 256, MostData: 4096}, 5*time.Second)
 					if err != nil {
@@ -127,7 +128,7 @@
 					if how == "without" {
 						os.RemoveAll(filepath.Join(f.Dir, "kept"))
 					}
-					_, stop = start(b, f.Settings[0])
+					_, stop = startGateway(b, f.Settings[0])
 				}
 				before := slow()
 				asked, inTime := load(4 * time.Second)
@@ -139,20 +140,20 @@
 	}
 }
 
-// BenchmarkKeeping is a read at depth 1 through a gateway that saves its state ten times a second and through one that
-// keeps none, by turns in one run.
+// BenchmarkKeeping compares reads at depth 1 through a gateway that saves its state ten times a second with reads
+// through one that saves none; the two alternate within one run.
 func BenchmarkKeeping(b *testing.B) {
 	var cls [2]*standin.Client
 	var gs [2]*hdrhistogram.Histogram
 	for i, more := range []string{"", "state(dir = \"kept\", every = ms(100))\n"} {
-		s := one()
+		s := singleVolume()
 		s.More = more
 		f, err := fleet.New(b.TempDir(), s)
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer f.Close()
-		_, stop := start(b, f.Settings[0])
+		_, stop := startGateway(b, f.Settings[0])
 		defer stop(false)
 		if cls[i], err = f.Dial(0, "orders", standin.ClientConfig{MostData: 4096, EventIdx: true}, 5*time.Second); err != nil {
 			b.Fatal(err)
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -20,8 +20,8 @@
 
 var restarts = flag.Int("restarts", 12, "restarts of the limit test")
 
-// start runs one gateway; stop ends it by draining, or at once.
-func start(t testing.TB, path string) (g *gateway.Gateway, stop func(hard bool)) {
+// startGateway runs one gateway; stop drains it, or with hard ends it at once.
+func startGateway(t testing.TB, path string) (g *gateway.Gateway, stop func(hard bool)) {
 	t.Helper()
 	cfg, err := settings.Load(path)
 	if err != nil {
@@ -46,11 +46,12 @@
 	}
 }
 
-// Over many restarts in short order, by draining and at once, with and without kept state, a limited volume gets no
-// more than its plan allows on what the nodes received.
+// TestLimitOverRestarts guards against a limit that starts full after a restart. Over many restarts in quick
+// succession, drained and killed, with and without saved state, the nodes receive no more requests than the plan's
+// limit allows.
 func TestLimitOverRestarts(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		s := one()
+		s := singleVolume()
 		s.Node.Record = true
 		s.Head = strings.Replace(fleet.Head, "limit = 120, limit_burst = 60, limit_slack = 12", "limit = 200, limit_burst = 40, limit_slack = 10", 1)
 		s.Volumes[0].Plan = "basic"
@@ -64,7 +65,7 @@
 		over := make(chan struct{})
 		var wg sync.WaitGroup
 		wg.Add(1)
-		go func() { // asks for many times the limit, whatever happens
+		go func() { // sends many times the limit throughout
 			defer wg.Done()
 			for {
 				select {
@@ -90,7 +91,7 @@
 			}
 		}()
 		for i := range *restarts {
-			_, stop := start(t, f.Settings[0])
+			_, stop := startGateway(t, f.Settings[0])
 			time.Sleep(time.Duration(100+37*i%200) * time.Millisecond)
 			stop(i%2 == 0)
 		}
@@ -107,7 +108,7 @@
 		if len(arrivals) == 0 {
 			t.Fatal("nothing was sent")
 		}
-		least := leastInStore(arrivals, rate, burst)
+		least := minBucketLevel(arrivals, rate, burst)
 		if least < -slack-rate*jitter {
 			t.Errorf("state kept %v: the limit's store went to %.1f, slack is %.0f", kept, least, slack)
 		}
@@ -115,10 +116,10 @@
 	}
 }
 
-// What was learned is there after a restart; a store that cannot be used, of whatever kind, never keeps a gateway from
-// serving, and is said in one line.
+// TestRestartWithState checks that learned values are restored after a restart, and that a state that is damaged,
+// missing or a folder does not prevent a gateway from serving.
 func TestRestartWithState(t *testing.T) {
-	s := one()
+	s := singleVolume()
 	s.More = "state(dir = \"kept\", every = ms(20))\n"
 	f, err := fleet.New(t.TempDir(), s)
 	if err != nil {
@@ -140,7 +141,7 @@
 			t.Errorf("a write: status %d, %v", r.Status, err)
 		}
 	}
-	g, stop := start(t, f.Settings[0])
+	g, stop := startGateway(t, f.Settings[0])
 	serve()
 	m, _ := g.Engine.Learned()
 	if m.Unit == 0 || len(m.Volumes) != 1 {
@@ -150,7 +151,7 @@
 		t.Errorf("a second gateway on the folder: %v", err)
 	}
 	stop(false)
-	g, stop = start(t, f.Settings[0])
+	g, stop = startGateway(t, f.Settings[0])
 	again, _ := g.Engine.Learned()
 	if again.Unit != m.Unit && again.Unit == 0 || len(again.Nodes) != 2 || len(again.Volumes) != 1 {
 		t.Errorf("after a restart: %+v, was %+v", again, m)
@@ -167,7 +168,7 @@
 		},
 	} {
 		break_()
-		_, stop := start(t, f.Settings[0])
+		_, stop := startGateway(t, f.Settings[0])
 		serve()
 		stop(false)
 		t.Log(name)
@@ -187,8 +188,8 @@
 	return cfg
 }
 
-// leastInStore is how far the store of a limit goes down with an arrival of one unit at each of the times.
-func leastInStore(arrivals []time.Time, rate, burst float64) (least float64) {
+// minBucketLevel returns the lowest level of a limit's token bucket when a unit arrives at each of the times.
+func minBucketLevel(arrivals []time.Time, rate, burst float64) (least float64) {
 	slices.SortFunc(arrivals, time.Time.Compare)
 	level, last := burst, arrivals[0]
 	least = burst
--- a/internal/gateway/takeover.go
+++ b/internal/gateway/takeover.go
@@ -208,7 +208,8 @@
 		_, err = receiveMessage(c, "adopted")
 	}
 	if err != nil {
-		// Close the connection before go is sent: a new process that is only slow gets an error and accepts no requests.
+		// Close the connection before go is sent: a new process that is only slow gets an error and accepts no
+		// requests.
 		c.Close()
 		thaw(true)
 		return err
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -21,27 +21,27 @@
 	"go.uber.org/zap"
 )
 
-// asker keeps some requests out at all times, and notes what became of them and the longest time without an answer.
-type asker struct {
-	cl   *standin.Client
-	mu   sync.Mutex
-	last time.Time
-	gap  time.Duration
-	got  [3]int
-	why  string
-	bad  int // reads with another's data
-	out  int
-	stop chan struct{}
-	wg   sync.WaitGroup
+// requester keeps a number of requests in flight and records their verdicts and the longest time without an answer.
+type requester struct {
+	cl           *standin.Client
+	mu           sync.Mutex
+	lastAnswer   time.Time
+	maxGap       time.Duration
+	verdicts     [3]int
+	firstFailure string
+	wrongData    int // reads that returned another block's data
+	outstanding  int
+	stop         chan struct{}
+	wg           sync.WaitGroup
 }
 
-func ask(t *testing.T, f *fleet.Fleet, cfg standin.ClientConfig, depth int) *asker {
+func startRequester(t *testing.T, f *fleet.Fleet, cfg standin.ClientConfig, depth int) *requester {
 	t.Helper()
 	cl, err := f.Dial(0, "orders", cfg, 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &asker{cl: cl, stop: make(chan struct{})}
+	a := &requester{cl: cl, stop: make(chan struct{})}
 	for w := range depth {
 		a.wg.Add(1)
 		go func() {
@@ -53,14 +53,14 @@
 					return
 				default:
 				}
-				b := uint64(w*64 + i%64) // blocks of its own
+				b := uint64(w*64 + i%64) // each worker has its own blocks
 				kind, data := uint32(i/64%2), []byte(nil)
 				if kind = 1 - kind; kind == 1 {
 					data = make([]byte, 4096)
 					binary.LittleEndian.PutUint64(data, b+1)
 				}
 				a.mu.Lock()
-				a.out++
+				a.outstanding++
 				a.mu.Unlock()
 				sent := time.Now()
 				err := cl.Submit(w%cl.Config.Queues, kind, b*8, data, 4096, func(r standin.Reply) {
@@ -76,17 +76,17 @@
 				r := <-ch
 				a.mu.Lock()
 				now := time.Now()
-				if !a.last.IsZero() {
-					a.gap = max(a.gap, now.Sub(a.last))
+				if !a.lastAnswer.IsZero() {
+					a.maxGap = max(a.maxGap, now.Sub(a.lastAnswer))
 				}
-				a.last = now
-				a.out--
-				a.got[r.Verdict]++
-				if r.Status != 0 && a.why == "" {
-					a.why = fmt.Sprintf("request %d of worker %d, kind %d: status %d after %v, %d served before", i, w, kind, r.Status, now.Sub(sent), a.got[0])
+				a.lastAnswer = now
+				a.outstanding--
+				a.verdicts[r.Verdict]++
+				if r.Status != 0 && a.firstFailure == "" {
+					a.firstFailure = fmt.Sprintf("request %d of worker %d, kind %d: status %d after %v, %d served before", i, w, kind, r.Status, now.Sub(sent), a.verdicts[0])
 				}
 				if r.Status == 99 {
-					a.bad++
+					a.wrongData++
 				}
 				a.mu.Unlock()
 			}
@@ -95,7 +95,7 @@
 	return a
 }
 
-func (a *asker) end(t *testing.T) {
+func (a *requester) finish(t *testing.T) {
 	t.Helper()
 	close(a.stop)
 	done := make(chan struct{})
@@ -103,37 +103,37 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%d requests were never answered", a.out)
+		t.Fatalf("%d requests were never answered", a.outstanding)
 	}
 	a.cl.Vanish()
-	if a.got[1]+a.got[2]+a.bad+a.cl.Strange() > 0 {
-		t.Errorf("%d served, %d refused, %d failed, %d wrong, %d strange; first %s", a.got[0], a.got[1], a.got[2], a.bad, a.cl.Strange(), a.why)
+	if a.verdicts[1]+a.verdicts[2]+a.wrongData+a.cl.Strange() > 0 {
+		t.Errorf("%d served, %d refused, %d failed, %d wrong, %d strange; first %s", a.verdicts[0], a.verdicts[1], a.verdicts[2], a.wrongData, a.cl.Strange(), a.firstFailure)
 	}
 }
 
-func kept() fleet.Shape {
-	s := one()
+func takeoverShape() fleet.Shape {
+	s := singleVolume()
 	s.Node = standin.NodeConfig{Base: 500 * time.Microsecond, WriteCache: true, InCapsule: 8192, Remember: 4 * time.Second}
-	// Room for a new process that hangs for a second: what a request wants within is not what is tested here.
+	// Aims above the second for which a new process hangs: response times are not tested here.
 	s.Head = strings.NewReplacer("aim = ms(250)", "aim = s(1.5)", "aim = ms(300)", "aim = s(1.5)").Replace(s.Head)
 	s.More = "state(dir = \"kept\", every = ms(20))\nrules(order_pause = ms(50))\n"
 	return s
 }
 
-// A second process takes over under load, again and again, from clients with and without an inflight region: no request
-// is refused, failed, lost or doubled, and what was learned goes along.
+// TestTakeover lets a second process take over under load several times, with clients with and without an inflight
+// region. No request is refused, failed, lost or answered twice, and the learned state is handed over.
 func TestTakeover(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), kept())
+	f, err := fleet.New(t.TempDir(), takeoverShape())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	g, stop := start(t, f.Settings[0])
-	plain := ask(t, f, standin.ClientConfig{Queues: 2, Depth: 4, MostData: 4096, EventIdx: true}, 2)
-	with := ask(t, f, standin.ClientConfig{Queues: 1, Depth: 4, MostData: 4096, Indirect: true, Inflight: true, Advice: true}, 1)
+	g, stop := startGateway(t, f.Settings[0])
+	plain := startRequester(t, f, standin.ClientConfig{Queues: 2, Depth: 4, MostData: 4096, EventIdx: true}, 2)
+	with := startRequester(t, f, standin.ClientConfig{Queues: 1, Depth: 4, MostData: 4096, Indirect: true, Inflight: true, Advice: true}, 1)
 	for i := range 5 {
 		time.Sleep(150 * time.Millisecond)
-		if i == 3 { // what is out when the rings stand still is taken up by the next process
+		if i == 3 { // requests in flight when the rings stop are continued by the next process
 			f.Nodes[0].Set(func(t *standin.Trouble) { t.Hang = true })
 			time.AfterFunc(300*time.Millisecond, func() { f.Nodes[0].Set(func(t *standin.Trouble) { t.Hang = false }) })
 			time.Sleep(20 * time.Millisecond)
@@ -148,12 +148,12 @@
 		if err := fleet.Eventually(10*time.Second, func() bool { return next.Rings.Sessions.Load() == 2 }); err != nil {
 			t.Fatal("nobody took over")
 		}
-		stop(false) // it has ended by itself
+		stop(false) // it has already ended after the handover
 		if n := next.Rings.Owed(); n < 0 || n > 3 {
-			t.Errorf("%d answers are owed to clients that ask 3 at a time", n)
+			t.Errorf("%d answers are owed to clients with 3 requests in flight", n)
 		}
 		if m, _ := next.Engine.Learned(); m.Unit == 0 {
-			t.Error("what was learned did not go along")
+			t.Error("the learned state was not handed over")
 		}
 		g, stop = next, func(bool) {
 			cancel()
@@ -163,10 +163,10 @@
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	plain.end(t)
-	with.end(t)
-	t.Logf("longest time without an answer: %v and %v, a node hung for 300 ms once; %d and %d served", plain.gap.Round(time.Millisecond),
-		with.gap.Round(time.Millisecond), plain.got[0], with.got[0])
+	plain.finish(t)
+	with.finish(t)
+	t.Logf("longest time without an answer: %v and %v, a node hung for 300 ms once; %d and %d served", plain.maxGap.Round(time.Millisecond),
+		with.maxGap.Round(time.Millisecond), plain.verdicts[0], with.verdicts[0])
 	third, err := f.Dial(0, "orders", standin.ClientConfig{}, time.Second)
 	if err != nil {
 		t.Errorf("the socket takes no new client: %v", err)
@@ -177,16 +177,16 @@
 	stop(false)
 }
 
-// The new process is of another gateway, cannot adopt, crashes half way, or hangs: the old one goes on, and nobody's
-// request is refused or lost.
+// TestTakeoverFails checks that the old process goes on, with no request refused or lost, when the new one belongs to
+// another gateway, sends garbage, cannot adopt, crashes half way or hangs.
 func TestTakeoverFails(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), kept())
+	f, err := fleet.New(t.TempDir(), takeoverShape())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	g, stop := start(t, f.Settings[0])
-	a := ask(t, f, standin.ClientConfig{Queues: 2, Depth: 4, MostData: 4096, Inflight: true}, 2)
+	g, stop := startGateway(t, f.Settings[0])
+	a := startRequester(t, f, standin.ClientConfig{Queues: 2, Depth: 4, MostData: 4096, Inflight: true}, 2)
 	control := filepath.Join(f.Dir, "kept", "control")
 	dial := func() net.Conn {
 		t.Helper()
@@ -213,14 +213,14 @@
 		}
 		size := binary.LittleEndian.Uint32(n[:])
 		if size > 1<<20 {
-			return "descriptors" // each comes with a byte "F"
+			return "descriptors" // each comes with a byte "F", which is not a length
 		}
 		b := make([]byte, size)
 		io.ReadFull(c, b)
 		return string(b)
 	}
-	served := func() int { a.mu.Lock(); defer a.mu.Unlock(); return a.got[0] }
-	for name, harm := range map[string]func(){
+	served := func() int { a.mu.Lock(); defer a.mu.Unlock(); return a.verdicts[0] }
+	for name, runFault := range map[string]func(){
 		"another gateway": func() {
 			c := dial()
 			defer c.Close()
@@ -264,7 +264,7 @@
 			}
 		},
 	} {
-		harm()
+		runFault()
 		before := served()
 		if err := fleet.Eventually(5*time.Second, func() bool { return served() > before+20 }); err != nil {
 			t.Errorf("%s: the old process does not go on", name)
@@ -273,16 +273,16 @@
 	if n := g.Rings.Sessions.Load(); n != 1 {
 		t.Errorf("%d sessions, want the one", n)
 	}
-	a.end(t)
+	a.finish(t)
 	stop(false)
-	if _, err := gateway.Takeover(config(t, one1(t)), zap.NewNop()); err == nil {
+	if _, err := gateway.Takeover(config(t, settingsWithoutState(t)), zap.NewNop()); err == nil {
 		t.Error("a takeover without a state folder")
 	}
 }
 
-// one1 is settings without a state folder.
-func one1(t *testing.T) string {
-	f, err := fleet.New(t.TempDir(), one())
+// settingsWithoutState returns the path of settings without a state folder.
+func settingsWithoutState(t *testing.T) string {
+	f, err := fleet.New(t.TempDir(), singleVolume())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,11 +290,12 @@
 	return f.Settings[0]
 }
 
-// A takeover of mirrored extents and of files: what a copy has missed goes along, nothing served is unread before, between
-// and after, the new process serves the files, and one that fails gives the marks back.
+// TestTakeoverOfCopiesAndFiles takes over a gateway with mirrored extents and files. The marks of stale copies are
+// handed over, every served write can be read before, during and after, the new process serves the files, and a new
+// process that fails returns the marks.
 func TestTakeoverOfCopiesAndFiles(t *testing.T) {
-	s := mirrored(1, "")
-	d := filed(t)
+	s := mirroredShape(1, "")
+	d := filesShape(t)
 	s.Volumes = append(s.Volumes, d.Volumes[1])
 	s.Last = d.Last
 	f, err := fleet.New(t.TempDir(), s)
@@ -302,7 +303,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	g, stop := start(t, f.Settings[0])
+	g, stop := startGateway(t, f.Settings[0])
 	cl, err := f.Dial(0, "orders", standin.ClientConfig{Queues: 1, Depth: 4, MostData: 64 << 10, Inflight: true}, time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -310,12 +311,12 @@
 	defer cl.Vanish()
 	w := newWriter(t, cl)
 	const spread = 1 << 20
-	files := newWeb(t, g)
+	files := newWebClient(t, g)
 	files.want(201, "PUT", "/f/x", "before")
 	files.close()
-	f.Nodes[2].Crash() // copies are stale when the next one begins
+	f.Nodes[2].Crash() // copies are stale when the next process starts
 	w.work(time.Now().Add(200*time.Millisecond), spread)
-	// One that is cut off before it has adopted anything.
+	// This process is cut off before it has adopted anything.
 	lost, err := gateway.Takeover(config(t, f.Settings[0]), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -323,7 +324,7 @@
 	gone, cut := context.WithCancel(context.Background())
 	cut()
 	if err := lost.Run(gone, gone); err == nil {
-		t.Error("a takeover that was cut off has no error")
+		t.Error("a takeover that was cut off returned no error")
 	}
 	w.work(time.Now().Add(100*time.Millisecond), spread)
 	next, err := gateway.Takeover(config(t, f.Settings[0]), zap.NewNop())
@@ -346,7 +347,7 @@
 		t.Fatal(err)
 	}
 	<-over
-	whole(t, next)
+	waitUntilWhole(t, next)
 	if w.served < 50 {
 		t.Errorf("%d writes were served, %d not", w.served, w.failed)
 	}
@@ -355,8 +356,8 @@
 			t.Errorf("block at %d cannot be read", at)
 		}
 	}
-	alike(t, f, 0)
-	files = newWeb(t, next)
+	checkCopiesEqual(t, f, 0)
+	files = newWebClient(t, next)
 	if got, _ := files.want(200, "GET", "/f/x", ""); got != "before" {
 		t.Errorf("%q", got)
 	}
