--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -20,7 +20,8 @@
 	return strings.TrimSpace(string(b))
 })
 
-// Now reads the machine's clocks.
+// Now returns the time since boot with the boot's ID, and the wall clock. Boot is "" if the time since boot cannot be
+// read.
 func Now() recall.Stamp {
 	s := recall.Stamp{Boot: bootID(), Wall: logic.Micros(time.Now().UnixMicro())}
 	var t unix.Timespec
--- a/internal/state/marks.go
+++ b/internal/state/marks.go
@@ -15,7 +15,8 @@
 )
 
 /*
-The marks lie in a bbolt database, "marks" in the state folder, in the bucket "marks 1". Key and value, big-endian:
+The marks are stored in the bbolt database "marks" in the state folder, in the bucket "marks 1". Keys and values are
+big-endian:
 
 	key    volume (8), first byte (8)
 	value  length in bytes (8), cell (4), namespace (4)
@@ -38,37 +39,38 @@
 
 func parseMark(k, v []byte) (r copies.Record, err error) {
 	if len(k) != keyLen || len(v) != valueLen {
-		return r, fmt.Errorf("state: marks: an entry of %d and %d bytes", len(k), len(v))
+		return r, fmt.Errorf("state: marks: entry with a key of %d and a value of %d bytes", len(k), len(v))
 	}
 	be := binary.BigEndian
 	r = copies.Record{Volume: be.Uint64(k), From: int64(be.Uint64(k[8:])), Len: int64(be.Uint64(v)),
 		CopyID: copies.CopyID{Cell: int(be.Uint32(v[8:])), Namespace: be.Uint32(v[12:])}}
 	if r.From < 0 || r.Len <= 0 || r.From+r.Len < 0 {
-		return r, fmt.Errorf("state: marks: %d bytes from %d", r.Len, r.From)
+		return r, fmt.Errorf("state: marks: invalid range of %d bytes from %d", r.Len, r.From)
 	}
 	return r, nil
 }
 
-// Marks keeps the marks of mirrored extents. What waits to be written is bounded by the changes that wait for it.
+// Marks stores the marks of mirrored extents on disk. The queue of updates has no limit of its own: it is bounded by
+// the changes that wait for them.
 type Marks struct {
 	path string
-	mu   sync.Mutex // the database
-	db   *bolt.DB   // nil: handed to another process
+	mu   sync.Mutex // guards db
+	db   *bolt.DB   // nil while another process has the marks
 
-	inMu    sync.Mutex
-	waiting []markStep
-	wake    chan struct{}
+	pendingMu sync.Mutex
+	pending   []markUpdate
+	wake      chan struct{}
 }
 
-type markStep struct {
+type markUpdate struct {
 	r      copies.Record
 	forget bool
 	done   func(err error)
 }
 
-var errHanded = errors.New("state: marks: another process has them")
+var errHandedOver = errors.New("state: marks: another process has them")
 
-// OpenMarks opens the marks in a folder that this process holds, making them where there are none.
+// OpenMarks opens the marks in a folder that this process holds and creates the database if there is none.
 func OpenMarks(dir string) (*Marks, error) {
 	m := &Marks{path: filepath.Join(dir, marksName), wake: make(chan struct{}, 1)}
 	if err := m.open(); err != nil {
@@ -77,7 +79,7 @@
 	return m, nil
 }
 
-// open guards against files that the library panics on.
+// open opens the database. It recovers from panics, as bbolt panics on some damaged files.
 func (m *Marks) open() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -100,12 +102,12 @@
 	return nil
 }
 
-// Load gives all marks, by volume and place.
+// Load returns all marks, ordered by volume and first byte.
 func (m *Marks) Load() (out []copies.Record, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.db == nil {
-		return nil, errHanded
+		return nil, errHandedOver
 	}
 	defer func() {
 		if r := recover(); r != nil {
@@ -122,12 +124,12 @@
 	return out, err
 }
 
-// Replace puts marks in the place of others, all at once.
+// Replace removes the old marks and stores others in their place, in one transaction.
 func (m *Marks) Replace(old, with []copies.Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.db == nil {
-		return errHanded
+		return errHandedOver
 	}
 	return m.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket([]byte(bucket))
@@ -145,26 +147,26 @@
 	})
 }
 
-// Keep brings a mark to stable storage and then calls done, from Run's goroutine.
-func (m *Marks) Keep(r copies.Record, done func(err error)) { m.add(markStep{r: r, done: done}) }
+// Keep queues a mark for storage. Run's goroutine calls done once the mark is on stable storage or could not be stored.
+func (m *Marks) Keep(r copies.Record, done func(err error)) { m.add(markUpdate{r: r, done: done}) }
 
-// Forget takes a mark away, some time.
+// Forget queues the removal of a mark and does not report when it is done.
 func (m *Marks) Forget(volume uint64, from int64) {
-	m.add(markStep{r: copies.Record{Volume: volume, From: from}, forget: true})
+	m.add(markUpdate{r: copies.Record{Volume: volume, From: from}, forget: true})
 }
 
-func (m *Marks) add(s markStep) {
-	m.inMu.Lock()
-	m.waiting = append(m.waiting, s)
-	m.inMu.Unlock()
+func (m *Marks) add(s markUpdate) {
+	m.pendingMu.Lock()
+	m.pending = append(m.pending, s)
+	m.pendingMu.Unlock()
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run carries out what is asked for until ctx ends: all that waits at a time in one transaction, so that many changes
-// share a sync. What is asked for afterwards is told that it failed by Close.
+// Run writes queued updates until ctx ends. It writes all that are queued in one transaction, so that many changes
+// share a sync. Updates that are queued after Run are written by Close, or fail if another process has the marks.
 func (m *Marks) Run(ctx context.Context) {
 	for {
 		select {
@@ -177,10 +179,10 @@
 }
 
 func (m *Marks) flush() {
-	m.inMu.Lock()
-	steps := m.waiting
-	m.waiting = nil
-	m.inMu.Unlock()
+	m.pendingMu.Lock()
+	steps := m.pending
+	m.pending = nil
+	m.pendingMu.Unlock()
 	if len(steps) == 0 {
 		return
 	}
@@ -192,11 +194,11 @@
 	}
 }
 
-func (m *Marks) write(steps []markStep) error {
+func (m *Marks) write(steps []markUpdate) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.db == nil {
-		return errHanded
+		return errHandedOver
 	}
 	return m.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket([]byte(bucket))
@@ -216,7 +218,7 @@
 	})
 }
 
-// Suspend lets another process open the marks, or takes them back.
+// Suspend closes the database so that another process can open it, or reopens it.
 func (m *Marks) Suspend(on bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,7 +233,7 @@
 	return nil
 }
 
-// Close ends it. Run must have ended.
+// Close writes queued updates and closes the database. Run must have returned.
 func (m *Marks) Close() error {
 	m.flush()
 	return m.Suspend(true)
--- a/internal/state/operate.go
+++ b/internal/state/operate.go
@@ -14,7 +14,8 @@
 	"appleplank/recall"
 )
 
-// Read reads a folder's state without taking hold of it: the file is replaced whole, so it can be read at any time.
+// Read reads the state in a folder without holding the folder. Saves replace the file atomically, so it can be read at
+// any time.
 func Read(dir string) (*State, error) {
 	b, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
@@ -23,14 +24,14 @@
 	return Decode(b)
 }
 
-// Report says whether the state in a folder can be used, and how old it is; the error is why not.
+// Report writes whether the state in a folder can be used and how old it is. The error tells why it cannot be used.
 func Report(w io.Writer, dir string) error {
 	st, err := Read(dir)
 	if err != nil {
 		return err
 	}
 	age, how, complaint := recall.Age(st.Written, Now())
-	fmt.Fprintf(w, "gateway %s, written %v ago (%s)\n", st.Gateway, micros(age), [...]string{"by this boot's clock", "by the wall clock",
+	fmt.Fprintf(w, "gateway %s, written %v ago (%s)\n", st.Gateway, formatMicros(age), [...]string{"by this boot's clock", "by the wall clock",
 		"how long ago cannot be told: " + complaint}[how])
 	ended := "its process was running or was killed: limits start at their lowest"
 	if st.Clean {
@@ -47,14 +48,14 @@
 	return nil
 }
 
-func micros(m logic.Micros) string {
+func formatMicros(m logic.Micros) string {
 	if m >= logic.Never/2 {
 		return "never"
 	}
 	return (time.Duration(m) * time.Microsecond).Round(time.Millisecond).String()
 }
 
-// Show writes a folder's state for a person.
+// Show writes the state in a folder as text.
 func Show(w io.Writer, dir string) error {
 	if err := Report(w, dir); err != nil {
 		return err
@@ -68,17 +69,17 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "node\tcell\tstarted ago\twindows\tlatency\twaited\tfailing\tlast heard\t\n")
 	for _, n := range m.Nodes {
-		fmt.Fprintf(t, "%d\t%d\t%s\t%.2f, %.2f\t%.1f ms\t%.1f ms\t%.0f%%\t%s\t\n", n.Node.ID, n.Node.Cell, micros(n.Node.Started), n.Window[0], n.Window[1],
-			n.Latency/1e3, n.Wait/1e3, 100*n.Failing, micros(n.Last))
+		fmt.Fprintf(t, "%d\t%d\t%s\t%.2f, %.2f\t%.1f ms\t%.1f ms\t%.0f%%\t%s\t\n", n.Node.ID, n.Node.Cell, formatMicros(n.Node.Started), n.Window[0], n.Window[1],
+			n.Latency/1e3, n.Wait/1e3, 100*n.Failing, formatMicros(n.Last))
 	}
 	fmt.Fprintf(t, "volume\tplan\tgateways\tbalance\tlimit's slice\tlast asked\t\t\t\n")
 	for _, v := range m.Volumes {
-		fmt.Fprintf(t, "%d\t%d\t%v\t%.1f\t%.1f\t%s\t\t\t\n", v.ID, v.Plan, v.Attached, v.Balance, v.Store, micros(v.Last))
+		fmt.Fprintf(t, "%d\t%d\t%v\t%.1f\t%.1f\t%s\t\t\t\n", v.ID, v.Plan, v.Attached, v.Balance, v.Store, formatMicros(v.Last))
 	}
 	return t.Flush()
 }
 
-// Export writes a folder's state as JSON.
+// Export writes the state in a folder as JSON.
 func Export(w io.Writer, dir string) error {
 	st, err := Read(dir)
 	if err != nil {
@@ -89,7 +90,8 @@
 	return e.Encode(st)
 }
 
-// Import replaces the state of a folder that nobody holds. It never counts as the last word of a process.
+// Import replaces the state in a folder that no process holds. The imported state never counts as one saved by a clean
+// shutdown.
 func Import(dir string, b []byte) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
@@ -98,7 +100,7 @@
 		return fmt.Errorf("state: import: %w", err)
 	}
 	if st.Gateway == "" {
-		return fmt.Errorf("state: import: no gateway is named")
+		return fmt.Errorf("state: import: the gateway's name is missing")
 	}
 	if err := st.Logic.Check(); err != nil {
 		return fmt.Errorf("state: import: %w", err)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,5 @@
-// Package state keeps what a gateway has learned in a folder, so that its next process need not learn it again. The
-// file is versioned and checksummed; it is replaced whole and never half written. What of it still counts is decided
-// by package recall.
+// Package state stores what a gateway has learned in a folder, so that its next process need not learn it again. The
+// file is versioned, has a checksum and is replaced atomically. Package recall decides which parts are still valid.
 package state
 
 import (
@@ -19,32 +18,32 @@
 
 // State is the content of the file.
 type State struct {
-	Gateway string // whose it is
+	Gateway string // name of the gateway that wrote it
 	Written recall.Stamp
-	Clean   bool // its process ended by itself after this; nothing was sent since
-	Quiet   bool // and nothing that it had sent may still run at a node
+	Clean   bool // saved at a clean shutdown: the process sent nothing afterwards
+	Quiet   bool // with Clean: nothing that the process sent can still be running at a node
 	Logic   logic.Memory
 	Members []members.Memory
-	Crossed []crossing.Count   // bytes on the connections to nodes, by what they were for
-	Budget  *crossing.Snapshot // for what crosses zones; nil: not known
-	History []crossing.Slot    // the same over time
-	Copies  []Copies           // of mirrored extents, as a report; what counts are the marks
+	Crossed []crossing.Count   // bytes on the connections to nodes, by volume, class, zone and reason
+	Budget  *crossing.Snapshot // of the budget for traffic between zones; nil if not known
+	History []crossing.Slot    // Crossed over time
+	Copies  []Copies           // mirrored extents, only for reports: after a restart the marks apply
 }
 
-// Copies is how the copies of a mirrored extent were.
+// Copies is the condition of the copies of a mirrored extent when the state was saved.
 type Copies struct {
 	Volume      uint64
-	From, Len   int64  // bytes of the volume
-	Cells       []int  // where the copies lie
-	Whole       []bool // which of them missed nothing
-	Stale       int    // regions in which one is stale
-	Moves       uint64 // of leads
-	Caught      uint64 // runs caught up
+	From, Len   int64  // range of bytes in the volume
+	Cells       []int  // cells that hold the copies
+	Whole       []bool // by copy: it has missed no change
+	Stale       int    // number of regions in which a copy is stale
+	Moves       uint64 // number of times that the lead changed
+	Caught      uint64 // number of runs of bytes that were caught up
 	CaughtBytes uint64
-	Refused     uint64 // changes that too few copies could take
+	Refused     uint64 // changes refused because too few copies were available
 }
 
-// Version is the version that is written. Older ones are read by way of migrate.
+// Version is the file version that Encode writes. Decode also reads older ones.
 const Version = 4
 
 /*
@@ -58,12 +57,12 @@
 	20             content: CBOR (RFC 8949) of State, keys are field names
 */
 const (
-	magic     = "APLSTATE"
-	headerLen = 20
-	mostBytes = 64 << 20
+	magic          = "APLSTATE"
+	headerLen      = 20
+	maxContentSize = 64 << 20
 )
 
-// Errors of a file that cannot be used.
+// Errors of Decode for a file that cannot be used.
 var (
 	ErrDamaged = errors.New("state: the file is damaged")
 	ErrNewer   = errors.New("state: the file is of a newer version")
@@ -72,7 +71,7 @@
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 	encoder    = must(cbor.CoreDetEncOptions().EncMode())
-	// A field that is not known, one that stands twice, or a number that does not fit is an error.
+	// The decoder refuses unknown fields, duplicate fields and numbers that do not fit.
 	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		MaxArrayElements: 1 << 20, MaxNestedLevels: 16}.DecMode())
 )
@@ -84,7 +83,7 @@
 	return v
 }
 
-// Encode makes a file of a state.
+// Encode returns the content of a file that holds a state.
 func Encode(s *State) ([]byte, error) {
 	content, err := encoder.Marshal(s)
 	if err != nil {
@@ -99,47 +98,47 @@
 	binary.LittleEndian.PutUint32(b[8:], version)
 	binary.LittleEndian.PutUint32(b[12:], uint32(len(content)))
 	b = append(b, content...)
-	binary.LittleEndian.PutUint32(b[16:], sum(b))
+	binary.LittleEndian.PutUint32(b[16:], checksum(b))
 	return b
 }
 
-func sum(b []byte) uint32 {
+func checksum(b []byte) uint32 {
 	return crc32.Update(crc32.Checksum(b[:16], castagnoli), castagnoli, b[headerLen:])
 }
 
-// Decode reads a file. The error wraps [ErrDamaged] or [ErrNewer].
+// Decode parses the content of a file. Its errors wrap [ErrDamaged] or [ErrNewer].
 func Decode(b []byte) (*State, error) {
-	bad := func(format string, a ...any) (*State, error) {
+	damaged := func(format string, a ...any) (*State, error) {
 		return nil, fmt.Errorf("%w: %s", ErrDamaged, fmt.Sprintf(format, a...))
 	}
 	if len(b) < headerLen || string(b[:8]) != magic {
-		return bad("it does not begin as one (%d bytes)", len(b))
+		return damaged("no header of a state file (%d bytes)", len(b))
 	}
 	version, n := binary.LittleEndian.Uint32(b[8:]), binary.LittleEndian.Uint32(b[12:])
-	if n > mostBytes || int(n) != len(b)-headerLen {
-		return bad("it has %d bytes of content and says %d", len(b)-headerLen, n)
+	if n > maxContentSize || int(n) != len(b)-headerLen {
+		return damaged("%d bytes of content, %d according to the header", len(b)-headerLen, n)
 	}
-	if got, want := sum(b), binary.LittleEndian.Uint32(b[16:]); got != want {
-		return bad("checksum %#x, want %#x", got, want)
+	if got, want := checksum(b), binary.LittleEndian.Uint32(b[16:]); got != want {
+		return damaged("checksum %#x, want %#x", got, want)
 	}
 	if version > Version {
 		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrNewer, version, Version)
 	}
 	s, err := migrate(version, b[headerLen:])
 	if err != nil {
-		return bad("version %d: %v", version, err)
+		return damaged("version %d: %v", version, err)
 	}
 	if err := s.Logic.Check(); err != nil {
-		return bad("%v", err)
+		return damaged("%v", err)
 	}
 	return s, nil
 }
 
-// migrate reads the content of a version.
+// migrate decodes the content of a file of the given version.
 func migrate(version uint32, content []byte) (*State, error) {
 	switch version {
 	case 1:
-		// Version 1, the form before the first landing, had no members and did not say whether its process ended by itself.
+		// Version 1 is from before the first merge. It has no members and does not record a clean shutdown.
 		var old struct {
 			Gateway string
 			Written recall.Stamp
@@ -153,9 +152,9 @@
 			s.Members = append(s.Members, members.Memory{ID: n.Node.ID, Started: n.Node.Started, Refused: logic.Never})
 		}
 		return s, nil
-	case 2, 3, 4: // version 2 had nothing of what crosses, version 3 no history and no copies
+	case 2, 3, 4: // version 2 has no traffic between zones, version 3 no history and no copies
 		s := &State{}
 		return s, decoder.Unmarshal(content, s)
 	}
-	return nil, fmt.Errorf("no such version")
+	return nil, fmt.Errorf("unknown version")
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -27,7 +27,7 @@
 	update = flag.Bool("update", false, "write the fixtures anew")
 )
 
-// The test binary is the process that is killed, when it is told so.
+// TestMain runs the test binary as the process that TestKill kills, if STATE_WRITE is set.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("STATE_WRITE"); dir != "" {
 		s, err := Open(dir, "the writer")
@@ -37,7 +37,7 @@
 		}
 		fmt.Println("ready")
 		for i := 1; ; i++ {
-			if err := s.Save(some(i)); err != nil {
+			if err := s.Save(testState(i)); err != nil {
 				fmt.Println(err)
 				os.Exit(1)
 			}
@@ -47,8 +47,8 @@
 	os.Exit(m.Run())
 }
 
-// some is a state that can be told from all others, and says in several places which it is.
-func some(i int) *State {
+// testState returns a state that differs for each i and contains i in several places.
+func testState(i int) *State {
 	s := &State{Gateway: "gw0", Written: recall.Stamp{Boot: "b", Since: logic.Micros(i), Wall: 5}}
 	s.Logic.Turns = i
 	for n := range 1 + i%5 {
@@ -59,11 +59,11 @@
 	return s
 }
 
-// number checks that a state is one of some's, whole, and gives which.
-func number(t *testing.T, s *State) int {
+// stateNumber checks that s equals a state of testState and returns its number.
+func stateNumber(t *testing.T, s *State) int {
 	t.Helper()
 	i := s.Logic.Turns
-	if !reflect.DeepEqual(s, some(i)) {
+	if !reflect.DeepEqual(s, testState(i)) {
 		t.Fatalf("a state that was never written: %+v", s)
 	}
 	return i
@@ -71,19 +71,19 @@
 
 func TestRoundTrip(t *testing.T) {
 	for i := range 20 {
-		b, err := Encode(some(i))
+		b, err := Encode(testState(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s, err := Decode(b); err != nil || number(t, s) != i {
+		if s, err := Decode(b); err != nil || stateNumber(t, s) != i {
 			t.Fatalf("%v", err)
 		}
 	}
 }
 
-// Every cut and every changed byte of a file is found out.
+// TestDamage checks that Decode detects truncation at every byte and a change of any bit.
 func TestDamage(t *testing.T) {
-	b, _ := Encode(some(1))
+	b, _ := Encode(testState(1))
 	for i := range b {
 		if _, err := Decode(b[:i]); !errors.Is(err, ErrDamaged) {
 			t.Fatalf("cut at byte %d: %v", i, err)
@@ -92,14 +92,14 @@
 			c := slices.Clone(b)
 			c[i] ^= 1 << bit
 			if _, err := Decode(c); err == nil {
-				t.Fatalf("bit %d of byte %d: taken", bit, i)
+				t.Fatalf("bit %d of byte %d: the change is not detected", bit, i)
 			}
 		}
 	}
 	if _, err := Decode(append(slices.Clone(b), 0)); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a byte too many: %v", err)
 	}
-	bad := some(1)
+	bad := testState(1)
 	bad.Logic.Nodes[0].Wait = math.NaN()
 	b, _ = Encode(bad)
 	if _, err := Decode(b); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "NaN") {
@@ -110,23 +110,23 @@
 	}
 }
 
-// Files of every version that was ever written are read, by fixtures that were written by it.
+// TestVersions checks that files of all versions can be read, with fixtures that the versions themselves wrote.
 func TestVersions(t *testing.T) {
 	v1 := filepath.Join("testdata", "v1.state")
 	v2 := filepath.Join("testdata", "v2.state")
 	v3 := filepath.Join("testdata", "v3.state")
 	v4 := filepath.Join("testdata", "v4.state")
 	if *update {
-		// The fixtures of versions 2 and 3 were written by them and cannot be written again.
+		// The fixtures of versions 2 and 3 were written by these versions and cannot be generated again.
 		old := struct {
 			Gateway string
 			Written recall.Stamp
 			Logic   logic.Memory
-		}{"gw0", some(3).Written, some(3).Logic}
+		}{"gw0", testState(3).Written, testState(3).Logic}
 		c, _ := encoder.Marshal(old)
 		os.MkdirAll("testdata", 0o755)
 		os.WriteFile(v1, frame(1, c), 0o644)
-		b, _ := Encode(some(3))
+		b, _ := Encode(testState(3))
 		os.WriteFile(v4, b, 0o644)
 	}
 	for _, path := range []string{v1, v2, v3, v4} {
@@ -138,7 +138,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		if number(t, s) != 3 || s.Clean {
+		if stateNumber(t, s) != 3 || s.Clean {
 			t.Errorf("%s: %+v", path, s)
 		}
 	}
@@ -167,7 +167,7 @@
 		want    string
 	}{
 		"damaged": {[]byte("APLSTATE and then something else"), "damaged"},
-		"foreign": {func() []byte { x := some(1); x.Gateway = "gw9"; b, _ := Encode(x); return b }(), `gateway "gw9"'s`},
+		"foreign": {func() []byte { x := testState(1); x.Gateway = "gw9"; b, _ := Encode(x); return b }(), `gateway "gw9"'s`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, dir := store(t)
@@ -183,7 +183,7 @@
 			if b, _ := os.ReadFile(aside[0]); string(b) != string(c.content) {
 				t.Error("what was set aside has changed")
 			}
-			if err := s.Save(some(2)); err != nil {
+			if err := s.Save(testState(2)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -195,7 +195,7 @@
 		if st, err := s.Load("gw0"); st != nil || !errors.Is(err, ErrNewer) {
 			t.Errorf("%v, %v", st, err)
 		}
-		if err := s.Save(some(1)); err == nil {
+		if err := s.Save(testState(1)); err == nil {
 			t.Error("saved over a newer version")
 		}
 		if again, _ := os.ReadFile(filepath.Join(dir, fileName)); string(again) != string(b) {
@@ -204,16 +204,16 @@
 	})
 }
 
-// A store that was handed over writes nothing any more, until it has it back.
+// TestSuspend checks that a suspended store writes nothing until it is resumed.
 func TestSuspend(t *testing.T) {
 	s, _ := store(t)
 	for i, on := range []bool{false, true, false} {
 		s.Suspend(on)
-		if err := s.Save(some(i + 1)); err != nil {
+		if err := s.Save(testState(i + 1)); err != nil {
 			t.Fatal(err)
 		}
 		st, err := s.Load("gw0")
-		if want := [3]int{1, 1, 3}[i]; err != nil || number(t, st) != want {
+		if want := [3]int{1, 1, 3}[i]; err != nil || stateNumber(t, st) != want {
 			t.Errorf("state %d is found, want %d; %v", st.Logic.Turns, want, err)
 		}
 	}
@@ -240,13 +240,13 @@
 	}
 }
 
-// model is a disk whose writes lie in a cache until they are synced. A run over it is cut after some number of steps;
-// what then lies on it may be any mix of what was not synced.
-type model struct {
+// diskModel is a disk that caches writes until they are synced. After cut steps every operation fails, as in a power
+// cut; the disk may then hold any combination of the writes that were not synced.
+type diskModel struct {
 	steps, cut int
 	lie        bool // syncs do nothing
 	names      map[string]*inode
-	pending    []func(names map[string]*inode) // name changes that were not synced
+	pending    []func(names map[string]*inode) // name changes that are not synced
 	durable    map[string]*inode
 }
 
@@ -254,26 +254,26 @@
 
 var errCut = errors.New("power is gone")
 
-func (m *model) step() error {
+func (m *diskModel) step() error {
 	if m.steps++; m.steps > m.cut {
 		return errCut
 	}
 	return nil
 }
 
-func (m *model) apply(change func(names map[string]*inode)) {
+func (m *diskModel) apply(change func(names map[string]*inode)) {
 	change(m.names)
 	m.pending = append(m.pending, change)
 }
 
-func (m *model) read(name string) ([]byte, error) {
+func (m *diskModel) read(name string) ([]byte, error) {
 	if n := m.names[name]; n != nil {
 		return n.data, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (m *model) create(name string) (file, error) {
+func (m *diskModel) create(name string) (file, error) {
 	if err := m.step(); err != nil {
 		return nil, err
 	}
@@ -282,7 +282,7 @@
 	return &modelFile{m, n}, nil
 }
 
-func (m *model) rename(from, to string) error {
+func (m *diskModel) rename(from, to string) error {
 	if err := m.step(); err != nil {
 		return err
 	}
@@ -291,12 +291,12 @@
 	return nil
 }
 
-func (m *model) remove(name string) error {
+func (m *diskModel) remove(name string) error {
 	m.apply(func(names map[string]*inode) { delete(names, name) })
 	return nil
 }
 
-func (m *model) sync() error {
+func (m *diskModel) sync() error {
 	if err := m.step(); err != nil {
 		return err
 	}
@@ -310,13 +310,13 @@
 }
 
 type modelFile struct {
-	m *model
+	m *diskModel
 	n *inode
 }
 
 func (f *modelFile) Write(b []byte) (int, error) {
 	if err := f.m.step(); err != nil {
-		f.n.data = append(f.n.data, b...) // it was on its way
+		f.n.data = append(f.n.data, b...) // the write may have been in progress
 		return 0, err
 	}
 	f.n.data = append(f.n.data, b...)
@@ -335,9 +335,10 @@
 
 func (f *modelFile) Close() error { return nil }
 
-// after gives every disk that may be found when power comes back: each name change that was not synced has happened or
-// not, and of each file's bytes that were not synced any number, with the rest missing or zero.
-func (m *model) after(found func(names map[string][]byte)) {
+// possibleContents calls found with every content that the disk may have when power returns: each name change that was
+// not synced has happened or not, and of the bytes of a file that were not synced any number is there, with the rest
+// missing or zero.
+func (m *diskModel) possibleContents(found func(names map[string][]byte)) {
 	for mask := range 1 << len(m.pending) {
 		names := map[string]*inode{}
 		for k, v := range m.durable {
@@ -366,16 +367,17 @@
 	}
 }
 
-// Power that fails at any step of a save, with whatever was not synced dropped, torn or out of order: the old state or
-// the new one is found, never a broken one, never none. The model is shown to find a save that does not sync.
+// TestPowerCut guards against a loss of the state when power fails at any step of a save and data that is not synced is
+// lost, partly written or reordered. The old or the new state must be found, never a damaged one or none. A save
+// without syncs must fail, which shows that the model detects the fault.
 func TestPowerCut(t *testing.T) {
 	run := func(cut int, lie bool) (old, fresh, broken, steps int) {
-		was, _ := Encode(some(1))
+		was, _ := Encode(testState(1))
 		n := &inode{was, was}
-		m := &model{cut: cut, lie: lie, names: map[string]*inode{fileName: n}, durable: map[string]*inode{fileName: n}}
-		b, _ := Encode(some(2))
+		m := &diskModel{cut: cut, lie: lie, names: map[string]*inode{fileName: n}, durable: map[string]*inode{fileName: n}}
+		b, _ := Encode(testState(2))
 		err := replace(m, fileName, tempName, b)
-		m.after(func(names map[string][]byte) {
+		m.possibleContents(func(names map[string][]byte) {
 			s, derr := Decode(names[fileName])
 			switch {
 			case derr != nil:
@@ -383,7 +385,7 @@
 			case s.Logic.Turns == 1:
 				old++
 				if err == nil && !lie {
-					t.Errorf("cut %d: the save was said to be done, and the old state is found", cut)
+					t.Errorf("cut %d: the save returned no error, but the old state is found", cut)
 				}
 			default:
 				fresh++
@@ -405,13 +407,13 @@
 		t.Errorf("only %d steps were cut", cuts)
 	}
 	if _, _, broken, _ := run(100, true); broken == 0 {
-		t.Error("a disk that does not sync is not found out: the model is too kind")
+		t.Error("a disk that does not sync is not detected: the model is too lenient")
 	}
 }
 
-// failing fails one kind of step.
+// failing is a file system in which one kind of step fails.
 type failing struct {
-	files
+	fileSystem
 	step string
 }
 
@@ -419,7 +421,7 @@
 	if f.step == "create" {
 		return nil, syscall.ENOSPC
 	}
-	x, err := f.files.create(name)
+	x, err := f.fileSystem.create(name)
 	return failingFile{x, f.step}, err
 }
 
@@ -427,14 +429,14 @@
 	if f.step == "rename" {
 		return syscall.EROFS
 	}
-	return f.files.rename(from, to)
+	return f.fileSystem.rename(from, to)
 }
 
 func (f failing) sync() error {
 	if f.step == "folder" {
 		return syscall.EIO
 	}
-	return f.files.sync()
+	return f.fileSystem.sync()
 }
 
 type failingFile struct {
@@ -457,15 +459,16 @@
 	return f.file.Sync()
 }
 
-// A disk that is full, a folder that cannot be written, a sync that fails: the save says so and the old state stays.
+// TestDiskTrouble checks that a save fails and the old state remains if the disk is full, the folder cannot be written
+// or a sync fails. After a failed sync of the folder either state may be found.
 func TestDiskTrouble(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "folder"} {
 		s, dir := store(t)
-		if err := s.Save(some(1)); err != nil {
+		if err := s.Save(testState(1)); err != nil {
 			t.Fatal(err)
 		}
 		s.files = failing{disk(dir), step}
-		if err := s.Save(some(2)); err == nil {
+		if err := s.Save(testState(2)); err == nil {
 			t.Errorf("%s: no error", step)
 		}
 		s.files = disk(dir)
@@ -473,14 +476,14 @@
 		if err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
-		if n := number(t, st); n != 1 && step != "folder" {
+		if n := stateNumber(t, st); n != 1 && step != "folder" {
 			t.Errorf("%s: state %d is found", step, n)
 		}
 	}
 }
 
-// A process killed at random moments while it writes leaves the state it had or the one it was writing, and lets go of
-// the folder.
+// TestKill checks that a process that is killed at random moments while it saves leaves the old or the new state and
+// does not keep the folder locked.
 func TestKill(t *testing.T) {
 	dir := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -512,18 +515,18 @@
 			t.Fatalf("kill %d: %v", i, err)
 		}
 		if st != nil {
-			last = max(last, number(t, st))
+			last = max(last, stateNumber(t, st))
 		} else if last > 0 {
 			t.Fatalf("kill %d: no state, though there was one", i)
 		}
 	}
-	t.Logf("%d kills, up to %d states written in a life", *kills, last)
+	t.Logf("%d kills, up to %d states written by one process", *kills, last)
 }
 
-// BenchmarkSave is a state of the size of a large fleet: whole-file replace against two slots written by turns and a
-// log that is appended to, each synced.
+// BenchmarkSave saves a state of the size of a large fleet. It compares replacing the file with alternating writes to
+// two slots and with appending to a log, each synced.
 func BenchmarkSave(b *testing.B) {
-	big := some(0)
+	big := testState(0)
 	for i := range 46 {
 		n := logic.NodeMemory{Node: logic.Node{ID: logic.NodeID(i + 2), Started: logic.Never}, Latency: 1000}
 		for j := range 20 {
@@ -577,10 +580,11 @@
 	})
 }
 
-// What is exported can be imported again, but never as the last word of a process; what cannot be right is refused.
+// TestOperate checks that an exported state can be imported, that it does not count as saved by a clean shutdown, and
+// that invalid input is refused.
 func TestOperate(t *testing.T) {
 	s, dir := store(t)
-	st := some(4)
+	st := testState(4)
 	st.Clean, st.Quiet = true, true
 	if err := s.Save(st); err != nil {
 		t.Fatal(err)
@@ -601,7 +605,7 @@
 		t.Fatal(err)
 	}
 	got, err := Read(dir)
-	if err != nil || got.Clean || got.Quiet || number(t, got) != 4 {
+	if err != nil || got.Clean || got.Quiet || stateNumber(t, got) != 4 {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for _, bad := range []string{"{", `{"Gateway": ""}`, `{"Gateway": "x", "Other": 1}`, `{"Gateway": "x", "Logic": {"Vanish": 2}}`} {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -13,13 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// files are the steps in which a file is kept, so that tests can cut them anywhere. A name is one within the folder.
-type files interface {
+// fileSystem is the set of operations by which files are stored, so that tests can interrupt any of them. Names are
+// relative to the folder.
+type fileSystem interface {
 	read(name string) ([]byte, error)
-	create(name string) (file, error) // empty, whatever was there
+	create(name string) (file, error) // an existing file is truncated
 	rename(from, to string) error
 	remove(name string) error
-	sync() error // the folder: its names are on stable storage
+	sync() error // syncs the folder, so that its names are on stable storage
 }
 
 type file interface {
@@ -28,7 +29,7 @@
 	Close() error
 }
 
-// disk is a folder of the machine's.
+// disk is a folder of the operating system's file system.
 type disk string
 
 func (d disk) read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(string(d), name)) }
@@ -54,25 +55,25 @@
 	lockName = "lock"
 )
 
-// Store is a folder that one process holds.
+// Store is a state folder that this process holds.
 type Store struct {
 	dir       string
-	files     files
+	files     fileSystem
 	lock      *os.File
-	mu        sync.Mutex // saving
+	mu        sync.Mutex // held while saving
 	suspended bool
-	readOnly  error // why nothing is saved: a newer file is there
+	readOnly  error // why nothing is saved: the file is of a newer version or could not be set aside
 }
 
-// HeldError says that another process holds the folder.
+// HeldError reports that another process holds the folder.
 type HeldError struct{ Dir, Holder string }
 
 func (e *HeldError) Error() string {
 	return fmt.Sprintf("state folder %s is held by %s", e.Dir, e.Holder)
 }
 
-// Open takes hold of a folder, making it where it is missing. Holder is how this process calls itself to the next that
-// asks.
+// Open locks a folder and creates it if it is missing. Holder describes this process to others that try to open the
+// folder.
 func Open(dir, holder string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
@@ -80,16 +81,16 @@
 	path := filepath.Join(dir, lockName)
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o640)
 	if errors.Is(err, fs.ErrPermission) || errors.Is(err, unix.EROFS) {
-		f, err = os.Open(path) // a lock needs no right to write
+		f, err = os.Open(path) // a lock does not require write permission
 		if err != nil {
-			return &Store{dir: dir, files: disk(dir)}, nil // nothing can be written, so nothing is held
+			return &Store{dir: dir, files: disk(dir)}, nil // this process can write nothing, so it needs no lock
 		}
 	}
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
-	for tries := 0; errors.Is(err, unix.EWOULDBLOCK) && tries < 5; tries++ { // somebody may only be looking, see Holder
+	for tries := 0; errors.Is(err, unix.EWOULDBLOCK) && tries < 5; tries++ { // a call of Holder may have the lock for a moment
 		time.Sleep(5 * time.Millisecond)
 		err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	}
@@ -106,7 +107,8 @@
 	return &Store{dir: dir, files: disk(dir), lock: f}, nil
 }
 
-// Holder tells who holds a folder, "" where nobody does. It takes no hold of it but for the moment of looking.
+// Holder returns the description of the process that holds a folder, or "" if there is none. It locks the folder only
+// for the check itself.
 func Holder(dir string) string {
 	f, err := os.Open(filepath.Join(dir, lockName))
 	if err != nil {
@@ -121,7 +123,8 @@
 	return strings.TrimSpace(string(b[:n]))
 }
 
-// Lock is the descriptor by which the folder is held, to be handed to a process that takes over; below zero: none.
+// Lock returns the descriptor of the folder's lock, to be passed to a process that takes over, or -1 if there is no
+// lock.
 func (s *Store) Lock() int {
 	if s.lock == nil {
 		return -1
@@ -129,7 +132,8 @@
 	return int(s.lock.Fd())
 }
 
-// Adopt takes over a folder that another process has held by the given descriptor, which becomes the store's.
+// Adopt opens a folder whose lock another process has passed on as fd. The store owns the descriptor from then on; a
+// negative fd means that there is no lock.
 func Adopt(dir string, fd int, holder string) *Store {
 	s := &Store{dir: dir, files: disk(dir)}
 	if fd >= 0 {
@@ -140,7 +144,7 @@
 	return s
 }
 
-// Close lets go of the folder.
+// Close releases the folder.
 func (s *Store) Close() error {
 	if s.lock == nil {
 		return nil
@@ -148,9 +152,9 @@
 	return s.lock.Close()
 }
 
-// Load reads the state. Without one it gives nil and no error; with one that cannot be used nil and an error that says
-// why and what was done: a damaged file and another gateway's are set aside, a newer version's is left untouched and
-// nothing is saved over it.
+// Load reads the state. If there is no file, it returns nil and no error. If the file cannot be used, it returns nil
+// and an error that tells why and what was done: a damaged file or one of another gateway is renamed, and one of a
+// newer version is left as it is and never replaced.
 func (s *Store) Load(gateway string) (*State, error) {
 	b, err := s.files.read(fileName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -178,15 +182,15 @@
 	return st, nil
 }
 
-// Suspend has Save do nothing, or something again. When it returns no save is under way, so that a process that is
-// handed the folder writes alone.
+// Suspend turns Save off or on again. When it returns, no save is in progress, so that a process to which the folder is
+// handed over is the only writer.
 func (s *Store) Suspend(on bool) {
 	s.mu.Lock()
 	s.suspended = on
 	s.mu.Unlock()
 }
 
-// Save replaces the state, whole or not at all. When it returns without error the new one is on stable storage.
+// Save replaces the state atomically. When it returns without error, the new state is on stable storage.
 func (s *Store) Save(st *State) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,9 +207,10 @@
 	return replace(s.files, fileName, tempName, b)
 }
 
-// replace is written out because each of its steps is one that power may fail at: the libraries for it do not sync the
-// folder, and cannot be cut at a step by a test.
-func replace(d files, name, temp string, b []byte) error {
+// replace writes a file under a temporary name, syncs it, renames it into place and syncs the folder. It does not use a
+// library because power may fail at each step: the libraries for this do not sync the folder, and tests cannot
+// interrupt them at a step.
+func replace(d fileSystem, name, temp string, b []byte) error {
 	wrap := func(step string, err error) error { return fmt.Errorf("state: %s: %w", step, err) }
 	f, err := d.create(temp)
 	if err != nil {
@@ -217,7 +222,7 @@
 		return wrap("write", err)
 	}
 	if err := f.Sync(); err != nil {
-		// What a failed sync has written nobody knows; the file is not used.
+		// After a failed sync it is unknown which data was written, so the file is not used.
 		f.Close()
 		d.remove(temp)
 		return wrap("sync", err)
@@ -234,7 +239,7 @@
 	return nil
 }
 
-// Forget takes the state away, where it must not be believed again and cannot be replaced.
+// Forget removes the state, for when it must not be used again and cannot be replaced.
 func (s *Store) Forget() error {
 	if s.readOnly != nil {
 		return s.readOnly
