--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -113,39 +113,39 @@
 					}
 					return nil
 				}
-				hn, hr := hdrhistogram.New(1, 1e10, 3), hdrhistogram.New(1, 1e10, 3)
-				var tn, tr time.Duration
-				var mn, mr, m0, m1 runtime.MemStats
-				const turn = 500
+				nodeTimes, ringTimes := hdrhistogram.New(1, 1e10, 3), hdrhistogram.New(1, 1e10, 3)
+				var nodeTotal, ringTotal time.Duration
+				var nodeMem, ringMem, m0, m1 runtime.MemStats
+				const batchSize = 500
 				warm := hdrhistogram.New(1, 1e10, 3)
 				runLoad(200, depth, warm, byNode)
 				runLoad(200, depth, warm, byRing)
 				n := 0
 				b.ResetTimer()
 				for n < b.N {
-					k := min(turn, b.N-n)
+					k := min(batchSize, b.N-n)
 					n += k
 					runtime.ReadMemStats(&m0)
-					t, err := runLoad(k, depth, hn, byNode)
+					t, err := runLoad(k, depth, nodeTimes, byNode)
 					if err != nil {
 						b.Fatal(err)
 					}
-					tn += t
+					nodeTotal += t
 					runtime.ReadMemStats(&m1)
-					mn.Mallocs += m1.Mallocs - m0.Mallocs
-					if t, err = runLoad(k, depth, hr, byRing); err != nil {
+					nodeMem.Mallocs += m1.Mallocs - m0.Mallocs
+					if t, err = runLoad(k, depth, ringTimes, byRing); err != nil {
 						b.Fatal(err)
 					}
-					tr += t
+					ringTotal += t
 					runtime.ReadMemStats(&m0)
-					mr.Mallocs += m0.Mallocs - m1.Mallocs
+					ringMem.Mallocs += m0.Mallocs - m1.Mallocs
 				}
-				b.ReportMetric(float64(tr)/float64(tn), "ratio")
-				b.ReportMetric(float64(hn.ValueAtQuantile(50))/1e3, "node-p50-us")
-				b.ReportMetric(float64(hr.ValueAtQuantile(50))/1e3, "ring-p50-us")
-				b.ReportMetric(float64(hn.ValueAtQuantile(99))/1e3, "node-p99-us")
-				b.ReportMetric(float64(hr.ValueAtQuantile(99))/1e3, "ring-p99-us")
-				b.ReportMetric(float64(mr.Mallocs)/float64(n)-float64(mn.Mallocs)/float64(n), "more-allocs/op")
+				b.ReportMetric(float64(ringTotal)/float64(nodeTotal), "ratio")
+				b.ReportMetric(float64(nodeTimes.ValueAtQuantile(50))/1e3, "node-p50-us")
+				b.ReportMetric(float64(ringTimes.ValueAtQuantile(50))/1e3, "ring-p50-us")
+				b.ReportMetric(float64(nodeTimes.ValueAtQuantile(99))/1e3, "node-p99-us")
+				b.ReportMetric(float64(ringTimes.ValueAtQuantile(99))/1e3, "ring-p99-us")
+				b.ReportMetric(float64(ringMem.Mallocs)/float64(n)-float64(nodeMem.Mallocs)/float64(n), "more-allocs/op")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/gateway/count_test.go
+++ b/internal/gateway/count_test.go
@@ -175,15 +175,15 @@
 	s.Head = strings.ReplaceAll(s.Head, "deadline = s(2)", "deadline = ms(500)") // a lost answer occupies its slot until the deadline
 	s.More = "rules(order_pause = ms(50))\ntimes(keep_alive = s(2))\n"
 	f, gws, stop := startFleet(t, s)
-	stopped := make(chan struct{})
-	var troubles sync.WaitGroup
-	troubles.Add(1)
+	stopFaults := make(chan struct{})
+	var faults sync.WaitGroup
+	faults.Add(1)
 	go func() {
-		defer troubles.Done()
+		defer faults.Done()
 		rng := rand.New(rand.NewPCG(5, 5))
 		for {
 			select {
-			case <-stopped:
+			case <-stopFaults:
 				return
 			case <-time.After(40 * time.Millisecond):
 			}
@@ -218,8 +218,8 @@
 		go func() { defer wg.Done(); c.run() }()
 	}
 	wg.Wait()
-	close(stopped)
-	troubles.Wait()
+	close(stopFaults)
+	faults.Wait()
 	for _, n := range f.Nodes {
 		n.Set(func(t *standin.Trouble) { *t = standin.Trouble{} })
 	}
--- a/internal/gateway/dav_bench_test.go
+++ b/internal/gateway/dav_bench_test.go
@@ -191,7 +191,7 @@
 		return float64(h.ValueAtQuantile(99))
 	}
 	alone := p99()
-	over := make(chan struct{})
+	stopLoad := make(chan struct{})
 	var wg sync.WaitGroup
 	var served, all atomic.Int64
 	for c := range 30 {
@@ -202,7 +202,7 @@
 			defer t.Stop()
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-stopLoad:
 					return
 				case <-t.C:
 				}
@@ -218,7 +218,7 @@
 		}()
 	}
 	beside := p99()
-	close(over)
+	close(stopLoad)
 	wg.Wait()
 	b.ReportMetric(beside/alone, "p99-beside/alone")
 	b.ReportMetric(float64(served.Load())/float64(max(all.Load(), 1)), "files-served")
--- a/internal/gateway/dav_test.go
+++ b/internal/gateway/dav_test.go
@@ -256,7 +256,7 @@
 	content := func(n int) string { return strings.Repeat(fmt.Sprintf("%07d\n", n), 100_000) }
 	w.want(201, "PUT", "/f/x", content(0))
 	var wg sync.WaitGroup
-	over := make(chan struct{})
+	stopReads := make(chan struct{})
 	reads := 0
 	var mu sync.Mutex
 	for range 4 {
@@ -265,7 +265,7 @@
 			defer wg.Done()
 			for {
 				select {
-				case <-over:
+				case <-stopReads:
 					return
 				default:
 				}
@@ -292,7 +292,7 @@
 			w.do("DELETE", "/f/x", "")
 		}
 	}
-	close(over)
+	close(stopReads)
 	wg.Wait()
 	if reads < 5 {
 		t.Errorf("%d reads", reads)
@@ -481,8 +481,8 @@
 	head := make([]byte, 1000)
 	io.ReadFull(a.Body, head)
 	// This PUT has sent half of its body.
-	body, feed := io.Pipe()
-	half := make(chan int, 1)
+	body, bodyWriter := io.Pipe()
+	putStatus := make(chan int, 1)
 	go func() {
 		r, _ := http.NewRequest("PUT", w.base+"/f/x", body)
 		r.SetBasicAuth("ann", "secret")
@@ -493,15 +493,15 @@
 			a.Body.Close()
 		}
 		body.Close()
-		half <- code
+		putStatus <- code
 	}()
-	io.WriteString(feed, want[:len(want)/2])
+	io.WriteString(bodyWriter, want[:len(want)/2])
 	for _, n := range f.Nodes {
 		n.Crash()
 	}
-	io.WriteString(feed, want[len(want)/2:])
-	feed.Close()
-	if code := <-half; code/100 == 2 {
+	io.WriteString(bodyWriter, want[len(want)/2:])
+	bodyWriter.Close()
+	if code := <-putStatus; code/100 == 2 {
 		t.Errorf("a PUT whose nodes died: status %d", code)
 	}
 	rest, err := io.ReadAll(a.Body)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -108,13 +108,13 @@
 			if got := do(0, uint64(at/512), nil, len(data)); !bytes.Equal(got, data) {
 				t.Error("read differs from what was written")
 			}
-			behind := make([]byte, 512)
+			stored := make([]byte, 512)
 			node, ns, off := f.Where(0, at)
-			if f.Nodes[node].Read(ns, off, behind); !bytes.Equal(behind, data[:512]) {
+			if f.Nodes[node].Read(ns, off, stored); !bytes.Equal(stored, data[:512]) {
 				t.Error("the first node does not hold the first bytes")
 			}
 			node, ns, off = f.Where(0, 4<<20)
-			if f.Nodes[node].Read(ns, off, behind); node != 1 || !bytes.Equal(behind, data[300*1024:300*1024+512]) {
+			if f.Nodes[node].Read(ns, off, stored); node != 1 || !bytes.Equal(stored, data[300*1024:300*1024+512]) {
 				t.Errorf("node %d does not hold the bytes of the second extent", node)
 			}
 			zero := binary.LittleEndian.AppendUint64(nil, uint64(at/512))
--- a/internal/gateway/lostzone_test.go
+++ b/internal/gateway/lostzone_test.go
@@ -71,7 +71,7 @@
 	const length, lose, back = 11 * time.Second, 3 * time.Second, 9 * time.Second
 	began := time.Now()
 	var mu sync.Mutex
-	var got, due [3]float64
+	var inTime, total [3]float64
 	var wg sync.WaitGroup
 	for g := range 2 {
 		for k, c := range lostZoneClasses {
@@ -101,19 +101,19 @@
 						}
 						mu.Lock()
 						defer mu.Unlock()
-						if due[k]++; err == nil && r.Status == 0 && time.Since(start) <= c.aim {
-							got[k]++
+						if total[k]++; err == nil && r.Status == 0 && time.Since(start) <= c.aim {
+							inTime[k]++
 						}
 					}()
 				}
 			}()
 		}
 	}
-	there := func(lost bool) { f.List(func(n int) bool { return !lost || n >= 4 }) }
+	listNodes := func(lost bool) { f.List(func(n int) bool { return !lost || n >= 4 }) }
 	var tally []int64
-	over := make(chan struct{})
+	samplesDone := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(samplesDone)
 		for time.Since(began) < length {
 			sum := int64(0)
 			for _, g := range gws {
@@ -129,7 +129,7 @@
 		}
 	}()
 	time.Sleep(time.Until(began.Add(lose)))
-	there(true)
+	listNodes(true)
 	for _, n := range f.Nodes[:4] {
 		n.Crash()
 	}
@@ -139,14 +139,14 @@
 			b.Error(err)
 		}
 	}
-	there(false)
+	listNodes(false)
 	wg.Wait()
-	<-over
+	<-samplesDone
 	for i := 4; i < len(tally); i++ {
 		most = max(most, float64(tally[i]-tally[i-4]))
 	}
 	for k := range service {
-		service[k] = got[k] / max(due[k], 1)
+		service[k] = inTime[k] / max(total[k], 1)
 	}
 	crossed = map[int]int64{}
 	rows, _ := gws[0].Engine.Crossing()
--- a/internal/gateway/restart_bench_test.go
+++ b/internal/gateway/restart_bench_test.go
@@ -144,7 +144,7 @@
 // through one that saves none; the two alternate within one run.
 func BenchmarkKeeping(b *testing.B) {
 	var cls [2]*standin.Client
-	var gs [2]*hdrhistogram.Histogram
+	var histograms [2]*hdrhistogram.Histogram
 	for i, more := range []string{"", "state(dir = \"kept\", every = ms(100))\n"} {
 		s := singleVolume()
 		s.More = more
@@ -159,7 +159,7 @@
 			b.Fatal(err)
 		}
 		defer cls[i].Vanish()
-		gs[i] = hdrhistogram.New(1, 1e10, 3)
+		histograms[i] = hdrhistogram.New(1, 1e10, 3)
 	}
 	var sum [2]time.Duration
 	n := 0
@@ -172,13 +172,13 @@
 					b.Fatal(err)
 				}
 				<-ch
-				gs[i].RecordValue(time.Since(began).Nanoseconds())
+				histograms[i].RecordValue(time.Since(began).Nanoseconds())
 				sum[i] += time.Since(began)
 			}
 		}
 		n++
 	}
 	b.ReportMetric(float64(sum[1])/float64(sum[0]), "ratio-mean")
-	b.ReportMetric(float64(gs[1].ValueAtQuantile(50))/float64(gs[0].ValueAtQuantile(50)), "ratio-p50")
-	b.ReportMetric(float64(gs[1].ValueAtQuantile(99))/float64(gs[0].ValueAtQuantile(99)), "ratio-p99")
+	b.ReportMetric(float64(histograms[1].ValueAtQuantile(50))/float64(histograms[0].ValueAtQuantile(50)), "ratio-p50")
+	b.ReportMetric(float64(histograms[1].ValueAtQuantile(99))/float64(histograms[0].ValueAtQuantile(99)), "ratio-p99")
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -62,14 +62,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over := make(chan struct{})
+		stopLoad := make(chan struct{})
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go func() { // sends many times the limit throughout
 			defer wg.Done()
 			for {
 				select {
-				case <-over:
+				case <-stopLoad:
 					return
 				default:
 				}
@@ -82,7 +82,7 @@
 				cl.Watch(func() { go cl.Vanish() })
 				go func() {
 					defer wg.Done()
-					<-over
+					<-stopLoad
 					cl.Vanish()
 				}()
 				for i := 0; cl.Submit(0, 0, uint64(i%512)*8, nil, 4096, func(standin.Reply) {}) == nil; i++ {
@@ -95,7 +95,7 @@
 			time.Sleep(time.Duration(100+37*i%200) * time.Millisecond)
 			stop(i%2 == 0)
 		}
-		close(over)
+		close(stopLoad)
 		wg.Wait()
 		const rate, burst, slack, jitter = 200.0, 40.0, 10.0, 0.1
 		var arrivals []time.Time
@@ -159,7 +159,7 @@
 	serve()
 	stop(true)
 	file := filepath.Join(f.Dir, "kept", "state")
-	for name, break_ := range map[string]func(){
+	for name, breakState := range map[string]func(){
 		"damaged": func() { os.WriteFile(file, []byte("no state"), 0o644) },
 		"missing": func() { os.Remove(file) },
 		"a folder in its place": func() {
@@ -167,7 +167,7 @@
 			os.Mkdir(file, 0o755)
 		},
 	} {
-		break_()
+		breakState()
 		_, stop := startGateway(t, f.Settings[0])
 		serve()
 		stop(false)
--- a/internal/gateway/takeover_test.go
+++ b/internal/gateway/takeover_test.go
@@ -130,7 +130,7 @@
 	defer f.Close()
 	g, stop := startGateway(t, f.Settings[0])
 	plain := startRequester(t, f, standin.ClientConfig{Queues: 2, Depth: 4, MostData: 4096, EventIdx: true}, 2)
-	with := startRequester(t, f, standin.ClientConfig{Queues: 1, Depth: 4, MostData: 4096, Indirect: true, Inflight: true, Advice: true}, 1)
+	inflight := startRequester(t, f, standin.ClientConfig{Queues: 1, Depth: 4, MostData: 4096, Indirect: true, Inflight: true, Advice: true}, 1)
 	for i := range 5 {
 		time.Sleep(150 * time.Millisecond)
 		if i == 3 { // requests in flight when the rings stop are continued by the next process
@@ -164,9 +164,9 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	plain.finish(t)
-	with.finish(t)
+	inflight.finish(t)
 	t.Logf("longest time without an answer: %v and %v, a node hung for 300 ms once; %d and %d served", plain.maxGap.Round(time.Millisecond),
-		with.maxGap.Round(time.Millisecond), plain.verdicts[0], with.verdicts[0])
+		inflight.maxGap.Round(time.Millisecond), plain.verdicts[0], inflight.verdicts[0])
 	third, err := f.Dial(0, "orders", standin.ClientConfig{}, time.Second)
 	if err != nil {
 		t.Errorf("the socket takes no new client: %v", err)
@@ -317,13 +317,13 @@
 	f.Nodes[2].Crash() // copies are stale when the next process starts
 	w.work(time.Now().Add(200*time.Millisecond), spread)
 	// This process is cut off before it has adopted anything.
-	lost, err := gateway.Takeover(config(t, f.Settings[0]), zap.NewNop())
+	failing, err := gateway.Takeover(config(t, f.Settings[0]), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone, cut := context.WithCancel(context.Background())
+	endedCtx, cut := context.WithCancel(context.Background())
 	cut()
-	if err := lost.Run(gone, gone); err == nil {
+	if err := failing.Run(endedCtx, endedCtx); err == nil {
 		t.Error("a takeover that was cut off returned no error")
 	}
 	w.work(time.Now().Add(100*time.Millisecond), spread)
@@ -333,9 +333,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	over := make(chan struct{})
+	writesDone := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(writesDone)
 		w.work(time.Now().Add(1500*time.Millisecond), spread)
 	}()
 	go func() { done <- next.Run(ctx, context.Background()) }()
@@ -346,7 +346,7 @@
 	if err := f.Nodes[2].Up(false); err != nil {
 		t.Fatal(err)
 	}
-	<-over
+	<-writesDone
 	waitUntilWhole(t, next)
 	if w.served < 50 {
 		t.Errorf("%d writes were served, %d not", w.served, w.failed)
