--- a/internal/settings/describe.go
+++ b/internal/settings/describe.go
@@ -9,7 +9,7 @@
 	"appleplank/logic"
 )
 
-// Describe writes what the settings come to, for a person.
+// Describe writes the settings, defaults included, as readable text.
 func (c *Config) Describe(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	d := func(m logic.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What is shipped as an example runs as it is.
+// Every example script that ships with the project loads unchanged.
 func TestExamples(t *testing.T) {
 	paths, err := filepath.Glob("../../examples/*.star")
 	if err != nil || len(paths) == 0 {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -20,8 +20,8 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// Load reads the script at path with all that it loads. The error is [script.Problems] where the script could be
-// read but is wrong; then it names everything that is wrong, not only the first.
+// Load reads the script at path and all scripts that it loads. If they can be read but are invalid, the error is
+// [script.Problems] and lists every problem, not only the first.
 func Load(path string) (*Config, error) {
 	dir, name := filepath.Split(path)
 	if dir == "" {
@@ -32,13 +32,13 @@
 		for i, f := range c.Files {
 			c.Files[i] = filepath.Join(dir, f)
 		}
-		c.rebase(dir)
+		c.resolvePaths(dir)
 	}
 	return c, err
 }
 
-// rebase makes paths of the script relative to its folder.
-func (c *Config) rebase(dir string) {
+// resolvePaths resolves relative paths in the script against the script's folder.
+func (c *Config) resolvePaths(dir string) {
 	for i := range c.Volumes {
 		if s := c.Volumes[i].Socket; s != "" && !filepath.IsAbs(s) {
 			c.Volumes[i].Socket = filepath.Join(dir, s)
@@ -59,17 +59,17 @@
 // loader fills a Config from the calls of a script.
 type loader struct {
 	*script.Loader
-	c         Config
+	config    Config
 	classes   map[string]int
 	plans     map[string]int
 	volumePos []syntax.Position
 	nodePos   []syntax.Position
-	copiesPos syntax.Position // of copies(); its line is 0 where there is none
+	copiesPos syntax.Position // of copies(); Line is 0 if the script does not call it
 }
 
 func load(files fs.FS, name string) (*Config, error) {
 	l := &loader{Loader: script.New(files), classes: map[string]int{}, plans: map[string]int{}}
-	l.defaults()
+	l.setDefaults()
 	l.Single("gateway", l.gateway)
 	l.Single("rules", l.rules)
 	l.Single("directory", l.directory)
@@ -87,27 +87,27 @@
 	if err := l.Run(name); err != nil {
 		return nil, err
 	}
-	if l.whole(name); len(l.Problems) > 0 {
+	if l.checkConfig(name); len(l.Problems) > 0 {
 		return nil, l.Problems
 	}
-	l.c.Files = l.Files
-	return &l.c, nil
+	l.config.Files = l.Files
+	return &l.config, nil
 }
 
-func (l *loader) defaults() {
-	l.c.Name = "gateway"
-	l.c.Logic.Hosts, l.c.Logic.DrawnAtNode = 1, true
-	l.c.Times = Times{AnswerMargin: 20_000, Connect: 2_000_000, KeepAlive: 10_000_000, Drain: 10_000_000}
-	l.c.Bounds = Bounds{Depth: 64, IOQueues: 2, Memory: 256 << 20, MostMemory: 1 << 40, MostBytes: 4 << 20}
-	l.c.Directory.Every = 5_000_000
+func (l *loader) setDefaults() {
+	l.config.Name = "gateway"
+	l.config.Logic.Hosts, l.config.Logic.DrawnAtNode = 1, true
+	l.config.Times = Times{AnswerMargin: 20_000, Connect: 2_000_000, KeepAlive: 10_000_000, Drain: 10_000_000}
+	l.config.Bounds = Bounds{Depth: 64, IOQueues: 2, Memory: 256 << 20, MostMemory: 1 << 40, MostBytes: 4 << 20}
+	l.config.Directory.Every = 5_000_000
 }
 
 func (l *loader) gateway(f *script.Form) {
-	s := &l.c.Logic
-	l.c.Name = f.Text("name", "gateway", true)
+	s := &l.config.Logic
+	l.config.Name = f.Text("name", "gateway", true)
 	s.Hosts = int(f.Whole("hosts", 1, 1, 1<<20))
 	s.Number = int(f.Whole("number", 0, 0, 1<<20))
-	s.Zone = zone(f)
+	s.Zone = readZone(f)
 	s.MaxAttempts = int(f.Whole("max_attempts", 4, 0, 1<<10))
 	s.SecondCopies = f.Flag("second_copies", true)
 	s.CoolDowns = f.Flag("cool_downs", true)
@@ -120,8 +120,8 @@
 	}
 }
 
-// zone is the number of a zone, -1 where it is not told: zero is a zone like any other.
-func zone(f *script.Form) int {
+// readZone returns the number of a zone, or -1 if none is given, since zero is a valid zone.
+func readZone(f *script.Form) int {
 	if _, ok := f.Take("zone", false); !ok {
 		return -1
 	}
@@ -129,7 +129,7 @@
 }
 
 func (l *loader) rules(f *script.Form) {
-	l.c.Logic.Rules = logic.Rules{
+	l.config.Logic.Rules = logic.Rules{
 		AnswerSlack:   logic.Micros(f.Duration("answer_slack", 0)),
 		StopSending:   logic.Micros(f.Duration("stop_sending", 0)),
 		ColdFrom:      f.Number("cold_from", 0),
@@ -145,12 +145,12 @@
 }
 
 func (l *loader) directory(f *script.Form) {
-	l.c.Directory.Address = f.Text("address", "", true)
-	l.c.Directory.Every = logic.Micros(f.Duration("every", int64(l.c.Directory.Every)))
+	l.config.Directory.Address = f.Text("address", "", true)
+	l.config.Directory.Every = logic.Micros(f.Duration("every", int64(l.config.Directory.Every)))
 }
 
 func (l *loader) times(f *script.Form) {
-	t := &l.c.Times
+	t := &l.config.Times
 	t.AnswerMargin = logic.Micros(f.Duration("answer_margin", int64(t.AnswerMargin)))
 	t.Connect = logic.Micros(f.Duration("connect", int64(t.Connect)))
 	t.KeepAlive = logic.Micros(f.Duration("keep_alive", int64(t.KeepAlive)))
@@ -161,7 +161,7 @@
 }
 
 func (l *loader) bounds(f *script.Form) {
-	b := &l.c.Bounds
+	b := &l.config.Bounds
 	b.Depth = int(f.Whole("depth", int64(b.Depth), 2, 1024))
 	b.IOQueues = int(f.Whole("io_queues", int64(b.IOQueues), 1, 16))
 	b.Digests = f.Flag("digests", false)
@@ -174,14 +174,14 @@
 }
 
 func (l *loader) state(f *script.Form) {
-	l.c.State.Dir = f.Text("dir", "", true)
-	if l.c.State.Every = logic.Micros(f.Duration("every", 1_000_000)); l.c.State.Every < 10_000 {
+	l.config.State.Dir = f.Text("dir", "", true)
+	if l.config.State.Every = logic.Micros(f.Duration("every", 1_000_000)); l.config.State.Every < 10_000 {
 		f.Bad("every", "is under 10 ms")
 	}
 }
 
 func (l *loader) crossing(f *script.Form) {
-	c := &l.c.Crossing
+	c := &l.config.Crossing
 	c.Rate, c.Burst = float64(f.Size("rate", script.Must)), float64(f.Size("burst", script.Must))
 	c.Period, c.PerTime = logic.Micros(f.Duration("period", 0)), float64(f.Size("per_period", 0))
 	c.HoldBack, c.Lost = f.Number("hold_back", 0.3), f.Number("lost", 0.5)
@@ -193,13 +193,13 @@
 }
 
 func (l *loader) copies(f *script.Form) {
-	c := &l.c.Copies
+	c := &l.config.Copies
 	l.copiesPos = f.Pos
 	find := func(name string, in map[string]int) int {
-		word := f.Text(name, "", true)
-		i, ok := in[word]
-		if !ok && word != "" {
-			f.Bad(name, "no %s %q stands before this line", strings.TrimSuffix(name, "_"), word)
+		ref := f.Text(name, "", true)
+		i, ok := in[ref]
+		if !ok && ref != "" {
+			f.Bad(name, "no %s %q stands before this line", strings.TrimSuffix(name, "_"), ref)
 		}
 		return i
 	}
@@ -221,12 +221,12 @@
 	if strings.ContainsAny(u.Name, ":\x00") {
 		f.Bad("name", "%q has a colon or a NUL in it", u.Name)
 	}
-	for _, o := range l.c.Users {
+	for _, o := range l.config.Users {
 		if o.Name == u.Name {
 			f.Bad("name", "%q stands twice", u.Name)
 		}
 	}
-	l.c.Users = append(l.c.Users, u)
+	l.config.Users = append(l.config.Users, u)
 }
 
 func (l *loader) dav(f *script.Form) {
@@ -245,7 +245,7 @@
 	f.Each("trees", true, func(e *script.Form) {
 		t := Tree{Path: e.Text("path", "", true), Volume: -1, Read: e.Texts("read"), Write: e.Texts("write")}
 		name := e.Text("volume", "", true)
-		for i, v := range l.c.Volumes {
+		for i, v := range l.config.Volumes {
 			if v.Name == name {
 				t.Volume = i
 				if !v.Objects {
@@ -264,7 +264,7 @@
 		}
 		for _, names := range [][]string{t.Read, t.Write} {
 			for _, n := range names {
-				if !slices.ContainsFunc(l.c.Users, func(u User) bool { return u.Name == n }) {
+				if !slices.ContainsFunc(l.config.Users, func(u User) bool { return u.Name == n }) {
 					e.Bad("", "no user %q stands before this line", n)
 				}
 			}
@@ -274,7 +274,7 @@
 				e.Bad("path", "%q stands twice", t.Path)
 			}
 		}
-		for _, o := range l.c.Dav {
+		for _, o := range l.config.Dav {
 			for _, x := range o.Trees {
 				if x.Volume == t.Volume {
 					e.Bad("volume", "%q is a tree of %s already", name, o.Listen)
@@ -283,12 +283,12 @@
 		}
 		d.Trees = append(d.Trees, t)
 	})
-	l.c.Dav = append(l.c.Dav, d)
+	l.config.Dav = append(l.config.Dav, d)
 }
 
 func (l *loader) class(f *script.Form) {
 	name := f.Text("name", "", true)
-	if _, twice := l.classes[name]; twice {
+	if _, exists := l.classes[name]; exists {
 		f.Bad("name", "%q stands twice", name)
 	}
 	if name != "" {
@@ -317,15 +317,15 @@
 	if c.Repeat == logic.Dedup && c.RepeatWindow == 0 {
 		f.Bad("remembers", "a keyed class needs the time for which nodes drop repeats")
 	}
-	l.c.Crossing.Classes = append(l.c.Crossing.Classes, crossing.Class{Worth: c.Worth, Bends: f.Flag("bends", false)})
-	l.classes[name] = len(l.c.Classes)
-	l.c.Classes = append(l.c.Classes, name)
-	l.c.Logic.Classes = append(l.c.Logic.Classes, c)
+	l.config.Crossing.Classes = append(l.config.Crossing.Classes, crossing.Class{Worth: c.Worth, Bends: f.Flag("bends", false)})
+	l.classes[name] = len(l.config.Classes)
+	l.config.Classes = append(l.config.Classes, name)
+	l.config.Logic.Classes = append(l.config.Logic.Classes, c)
 }
 
 func (l *loader) plan(f *script.Form) {
 	name := f.Text("name", "", true)
-	if _, twice := l.plans[name]; twice {
+	if _, exists := l.plans[name]; exists {
 		f.Bad("name", "%q stands twice", name)
 	}
 	if name != "" {
@@ -339,15 +339,15 @@
 	if p.Limit > 0 && p.LimitBurst+p.LimitSlack <= 0 {
 		f.Bad("limit_burst", "a limit needs a burst or a slack, or nothing could ever be sent")
 	}
-	l.plans[name] = len(l.c.Plans)
-	l.c.Plans = append(l.c.Plans, name)
-	l.c.Logic.Plans = append(l.c.Logic.Plans, p)
+	l.plans[name] = len(l.config.Plans)
+	l.config.Plans = append(l.config.Plans, name)
+	l.config.Logic.Plans = append(l.config.Logic.Plans, p)
 }
 
 func (l *loader) node(f *script.Form) {
 	n := Node{
 		ID:   logic.NodeID(f.Whole("id", script.Must, 1, math.MaxUint32)),
-		Zone: zone(f), Cell: int(f.Whole("cell", script.Must, 0, 1<<24)),
+		Zone: readZone(f), Cell: int(f.Whole("cell", script.Must, 0, 1<<24)),
 		Address: f.Text("address", "", false), NQN: f.Text("nqn", "", true), Rating: f.Number("rating", 1),
 		Bytes: f.Size("capacity", 0),
 	}
@@ -355,7 +355,7 @@
 	if len(n.NQN) > 223 {
 		f.Bad("nqn", "longer than 223 bytes")
 	}
-	for _, o := range l.c.Nodes {
+	for _, o := range l.config.Nodes {
 		if o.ID == n.ID {
 			f.Bad("id", "%d stands twice", n.ID)
 		}
@@ -363,7 +363,7 @@
 			f.Bad("nqn", "%q is node %d's already", n.NQN, o.ID)
 		}
 	}
-	l.c.Nodes, l.nodePos = append(l.c.Nodes, n), append(l.nodePos, f.Pos)
+	l.config.Nodes, l.nodePos = append(l.config.Nodes, n), append(l.nodePos, f.Pos)
 }
 
 func (l *loader) volume(f *script.Form) {
@@ -380,14 +380,14 @@
 	v.Attached = f.Number("gateways", 1)
 	v.Account = v.ID
 	if name := f.Text("account", v.Name, false); name != v.Name {
-		i := slices.IndexFunc(l.c.Volumes, func(o Volume) bool { return o.Name == name })
+		i := slices.IndexFunc(l.config.Volumes, func(o Volume) bool { return o.Name == name })
 		switch {
 		case i < 0:
 			f.Bad("account", "no volume %q stands before this line", name)
-		case l.c.Volumes[i].Plan != v.Plan || l.c.Volumes[i].Attached != v.Attached:
+		case l.config.Volumes[i].Plan != v.Plan || l.config.Volumes[i].Attached != v.Attached:
 			f.Bad("account", "volume %q is on another plan, or comes through another number of gateways", name)
 		default:
-			v.Account = l.c.Volumes[i].Account
+			v.Account = l.config.Volumes[i].Account
 		}
 	}
 	v.Socket = f.Text("socket", "", false)
@@ -456,7 +456,7 @@
 		}
 		v.Rows = append(v.Rows, row)
 	})
-	for _, o := range l.c.Volumes {
+	for _, o := range l.config.Volumes {
 		if o.ID == v.ID {
 			f.Bad("id", "%d is volume %q's already", v.ID, o.Name)
 		}
@@ -467,36 +467,36 @@
 			f.Bad("socket", "%q is volume %q's already", v.Socket, o.Name)
 		}
 	}
-	l.c.Volumes, l.volumePos = append(l.c.Volumes, v), append(l.volumePos, f.Pos)
+	l.config.Volumes, l.volumePos = append(l.config.Volumes, v), append(l.volumePos, f.Pos)
 }
 
-// whole checks what no single line can be blamed for before all are read.
-func (l *loader) whole(name string) {
+// checkConfig validates what depends on several calls and can be checked only after the whole script has run.
+func (l *loader) checkConfig(name string) {
 	top := syntax.MakePosition(&name, 1, 1)
-	bad := func(pos syntax.Position, field, format string, a ...any) {
+	addProblem := func(pos syntax.Position, field, format string, a ...any) {
 		l.Problems = append(l.Problems, script.Problem{Pos: pos, Field: field, Text: fmt.Sprintf(format, a...)})
 	}
-	c := &l.c
+	c := &l.config
 	for _, need := range []struct {
 		what string
 		n    int
 	}{{"class_", len(c.Classes)}, {"plan", len(c.Plans)}, {"volume", len(c.Volumes)}, {"node", len(c.Nodes)}} {
 		if need.n == 0 {
-			bad(top, need.what, "none is given")
+			addProblem(top, need.what, "none is given")
 		}
 	}
 	cells := map[int]bool{}
 	for i, n := range c.Nodes {
 		cells[n.Cell] = true
 		if n.Address == "" && c.Directory.Address == "" {
-			bad(l.nodePos[i], fmt.Sprintf("node(%d).address", n.ID), "is missing, and no directory is given")
+			addProblem(l.nodePos[i], fmt.Sprintf("node(%d).address", n.ID), "is missing, and no directory is given")
 		}
 	}
-	type place struct {
+	type byteRange struct {
 		volume   string
 		from, to int64
 	}
-	taken := map[[2]int64][]place{}
+	usedRanges := map[[2]int64][]byteRange{}
 	served := 0
 	for i := range c.Volumes {
 		v, pos := &c.Volumes[i], l.volumePos[i]
@@ -505,42 +505,42 @@
 		}
 		at := fmt.Sprintf("volume(%q)", v.Name)
 		if v.Attached < 1 || v.Attached > float64(c.Logic.Hosts) {
-			bad(pos, at+".gateways", "%v is not between 1 and the %d gateways", v.Attached, c.Logic.Hosts)
+			addProblem(pos, at+".gateways", "%v is not between 1 and the %d gateways", v.Attached, c.Logic.Hosts)
 		}
 		slices.SortFunc(v.Extents, func(a, b Extent) int { return int(min(max(a.Start-b.Start, -1), 1)) })
 		end := int64(0)
 		for j, x := range v.Extents {
 			where := fmt.Sprintf("%s.extents[%d]", at, j)
 			if x.Start != end {
-				bad(pos, where, "begins at %d and leaves a hole from %d", x.Start, end)
+				addProblem(pos, where, "begins at %d and leaves a hole from %d", x.Start, end)
 			}
 			end = x.Start + x.Len
 			for _, p := range x.Copies {
 				if !cells[p.Cell] {
-					bad(pos, where, "no node holds cell %d", p.Cell)
+					addProblem(pos, where, "no node holds cell %d", p.Cell)
 				}
 				key := [2]int64{int64(p.Cell), int64(p.Namespace)}
-				for _, o := range taken[key] {
+				for _, o := range usedRanges[key] {
 					if p.Base < o.to && o.from < p.Base+x.Len {
-						bad(pos, where, "lies on bytes of namespace %d at cell %d that are volume %q's", p.Namespace, p.Cell, o.volume)
+						addProblem(pos, where, "lies on bytes of namespace %d at cell %d that are volume %q's", p.Namespace, p.Cell, o.volume)
 					}
 				}
-				taken[key] = append(taken[key], place{v.Name, p.Base, p.Base + x.Len})
+				usedRanges[key] = append(usedRanges[key], byteRange{v.Name, p.Base, p.Base + x.Len})
 			}
 		}
 		for k := block.Read; k < block.Kinds; k++ {
 			if _, ok := v.Class(k, math.MaxInt64); !ok && (!v.ReadOnly || k == block.Read || k == block.Flush) {
-				bad(pos, at+".table", "no row takes a %s of any size", k)
+				addProblem(pos, at+".table", "no row takes a %s of any size", k)
 			}
 		}
 		for j, r := range v.Rows {
 			cl := &c.Logic.Classes[r.Class]
 			if r.Kind.Changes() && !cl.InOrder {
-				bad(pos, fmt.Sprintf("%s.table[%d]", at, j),
+				addProblem(pos, fmt.Sprintf("%s.table[%d]", at, j),
 					"class %q is not in_order, but a %s must not overtake another of the same blocks", c.Classes[r.Class], r.Kind)
 			}
 			if r.Kind.Changes() && !cl.Writes {
-				bad(pos, fmt.Sprintf("%s.table[%d]", at, j), "class %q lacks writes = True", c.Classes[r.Class])
+				addProblem(pos, fmt.Sprintf("%s.table[%d]", at, j), "class %q lacks writes = True", c.Classes[r.Class])
 			}
 		}
 	}
@@ -549,89 +549,89 @@
 		if v.Memory == 0 && served > 0 {
 			v.Memory = max(c.Bounds.Memory/int64(served), 2*c.Bounds.MostBytes)
 		} else if v.Memory > 0 && v.Memory < 2*c.Bounds.MostBytes {
-			bad(l.volumePos[i], fmt.Sprintf("volume(%q).memory", v.Name),
+			addProblem(l.volumePos[i], fmt.Sprintf("volume(%q).memory", v.Name),
 				"holds less than two of the largest requests (%d bytes each)", c.Bounds.MostBytes)
 		}
 	}
 	for i, cl := range c.Logic.Classes {
 		if cl.Deadline <= c.Times.AnswerMargin {
-			bad(top, fmt.Sprintf("class_(%q).deadline", c.Classes[i]), "is not above answer_margin")
+			addProblem(top, fmt.Sprintf("class_(%q).deadline", c.Classes[i]), "is not above answer_margin")
 		}
 	}
 	c.Crossing.Hosts = c.Logic.Hosts
-	l.mirrored(bad)
+	l.checkMirrors(addProblem)
 	if len(c.Dav) > 0 && c.State.Dir == "" {
-		bad(top, "dav", "needs state(dir = …): the catalogue of the files lies there")
+		addProblem(top, "dav", "needs state(dir = …): the catalogue of the files lies there")
 	}
 	if len(l.Problems) == 0 {
 		if _, err := logic.New(c.Logic, 1); err != nil {
-			bad(top, "", "%v", err)
+			addProblem(top, "", "%v", err)
 		}
 	}
 }
 
-// mirrored checks what volumes with mirrored extents need.
-func (l *loader) mirrored(bad func(pos syntax.Position, field, format string, a ...any)) {
-	c := &l.c
-	some := false
+// checkMirrors validates what volumes with mirrored extents require.
+func (l *loader) checkMirrors(addProblem func(pos syntax.Position, field, format string, a ...any)) {
+	c := &l.config
+	anyMirrored := false
 	for i := range c.Volumes {
 		v, pos := &c.Volumes[i], l.volumePos[i]
 		if !v.Mirrored() {
 			continue
 		}
-		some = true
+		anyMirrored = true
 		if v.Objects {
-			bad(pos, fmt.Sprintf("volume(%q)", v.Name), "space for objects cannot be mirrored")
+			addProblem(pos, fmt.Sprintf("volume(%q)", v.Name), "space for objects cannot be mirrored")
 		}
 		at := fmt.Sprintf("volume(%q)", v.Name)
-		// What a copy has missed is known to the gateway that has sent it, and to no other.
+		// Only the gateway that sent a change knows which copies missed it.
 		if v.Attached != 1 {
-			bad(pos, at+".gateways", "%v gateways, but a mirrored volume is served by one", v.Attached)
+			addProblem(pos, at+".gateways", "%v gateways, but a mirrored volume is served by one", v.Attached)
 		}
 		for j, x := range v.Extents {
 			if n := len(x.Copies); n > 1 && l.copiesPos.Line > 0 {
-				set := copies.Settings{Copies: n, Hold: c.Copies.Hold, Region: c.Copies.Region, Size: x.Len}
-				if err := set.Check(); err != nil {
-					bad(pos, fmt.Sprintf("%s.extents[%d]", at, j), "%v", err)
-				} else if x.Len/c.Copies.Region > mostRegions {
-					bad(pos, fmt.Sprintf("%s.extents[%d]", at, j), "%d regions of %d bytes are over %d; copies(region = …) can be larger",
-						x.Len/c.Copies.Region, c.Copies.Region, mostRegions)
+				copySettings := copies.Settings{Copies: n, Hold: c.Copies.Hold, Region: c.Copies.Region, Size: x.Len}
+				if err := copySettings.Check(); err != nil {
+					addProblem(pos, fmt.Sprintf("%s.extents[%d]", at, j), "%v", err)
+				} else if x.Len/c.Copies.Region > maxRegions {
+					addProblem(pos, fmt.Sprintf("%s.extents[%d]", at, j), "%d regions of %d bytes are over %d; copies(region = …) can be larger",
+						x.Len/c.Copies.Region, c.Copies.Region, maxRegions)
 				}
 			}
 		}
 	}
 	pos := l.copiesPos
 	switch {
-	case pos.Line == 0 && some:
-		bad(l.volumePos[0], "copies", "is missing, and a volume has mirrors")
+	case pos.Line == 0 && anyMirrored:
+		addProblem(l.volumePos[0], "copies", "is missing, and a volume has mirrors")
 		return
 	case pos.Line == 0 || len(c.Classes) == 0 || len(c.Plans) == 0:
 		return
 	}
-	if some && c.State.Dir == "" {
-		bad(pos, "copies()", "needs state(dir = …): what a copy has missed must outlast a restart")
+	if anyMirrored && c.State.Dir == "" {
+		addProblem(pos, "copies()", "needs state(dir = …): what a copy has missed must outlast a restart")
 	}
 	if c.Copies.Region > c.Bounds.MostBytes {
-		bad(pos, "copies.region", "%d bytes is more than one request may have (%d)", c.Copies.Region, c.Bounds.MostBytes)
+		addProblem(pos, "copies.region", "%d bytes is more than one request may have (%d)", c.Copies.Region, c.Bounds.MostBytes)
 	}
 	cl := &c.Logic.Classes[c.Copies.Class]
 	if !cl.InOrder || !cl.Writes || cl.Repeat != logic.Retryable {
-		bad(pos, "copies.class_", "class %q is not in_order = True, writes = True, repeat = \"safe\"", c.Classes[c.Copies.Class])
+		addProblem(pos, "copies.class_", "class %q is not in_order = True, writes = True, repeat = \"safe\"", c.Classes[c.Copies.Class])
 	}
-	// Without a late share logic gives up at once on what it takes to be too slow for the aim; with nothing else to learn
-	// from it would do so for ever.
+	// With a late share of 0, package logic gives up at once on a request that it expects to miss the aim. No request
+	// would then be sent from which it could learn otherwise, so it would give up on all of them forever.
 	if cl.LateShare <= 0 {
-		bad(pos, "copies.class_", "class %q has no late_share, but a copy that is caught up late is caught up", c.Classes[c.Copies.Class])
+		addProblem(pos, "copies.class_", "class %q has no late_share, but a copy that is caught up late is caught up", c.Classes[c.Copies.Class])
 	}
 	for i, o := range c.Logic.Classes {
 		if o.Worth < cl.Worth {
-			bad(pos, "copies.class_", "class %q is worth more than class %q, but catching up is worth least", c.Classes[c.Copies.Class], c.Classes[i])
+			addProblem(pos, "copies.class_", "class %q is worth more than class %q, but catching up is worth least", c.Classes[c.Copies.Class], c.Classes[i])
 		}
 	}
 	if p := &c.Logic.Plans[c.Copies.Plan]; p.Reserve > 0 {
-		bad(pos, "copies.plan", "plan %q has a reserve, but catching up takes only what room is left", c.Plans[c.Copies.Plan])
+		addProblem(pos, "copies.plan", "plan %q has a reserve, but catching up takes only what room is left", c.Plans[c.Copies.Plan])
 	}
 }
 
-// mostRegions bounds what is remembered of an extent's copies.
-const mostRegions = 1 << 22
+// maxRegions limits the regions for which marks are kept in one extent.
+const maxRegions = 1 << 22
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"appleplank/logic"
 )
 
-const good = `
+const goodScript = `
 class_(name = "read", aim = ms(50), deadline = s(2), worth = 2)
 class_(name = "write", aim = ms(80), deadline = 2 * s(1), worth = 3, in_order = True, writes = True)
 plan(name = "basic", rate = 100, reserve = 20, limit = 1000, limit_burst = 100, limit_slack = 10)
@@ -24,7 +24,7 @@
        table = TABLE)
 `
 
-func read(text string, more ...string) (*Config, error) {
+func loadText(text string, more ...string) (*Config, error) {
 	files := fstest.MapFS{"main.star": {Data: []byte(text)}}
 	for i := 0; i+1 < len(more); i += 2 {
 		files[more[i]] = &fstest.MapFile{Data: []byte(more[i+1])}
@@ -33,7 +33,7 @@
 }
 
 func TestGood(t *testing.T) {
-	c, err := read(good)
+	c, err := loadText(goodScript)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,13 +53,13 @@
 	}
 }
 
-// Each bad script must be refused with its line and the field's name, whatever else is wrong beside it.
+// Each bad script must be rejected with the line and the name of the field, whatever else is wrong in it.
 func TestBad(t *testing.T) {
 	swap := func(old, new string) string {
-		if !strings.Contains(good, old) {
+		if !strings.Contains(goodScript, old) {
 			t.Fatalf("the good script lacks %q", old)
 		}
-		return strings.Replace(good, old, new, 1)
+		return strings.Replace(goodScript, old, new, 1)
 	}
 	for name, c := range map[string]struct {
 		script string
@@ -80,7 +80,7 @@
 		"out of order":   {swap(", in_order = True", ""), []string{"must not overtake"}},
 		"no row":         {swap(`"discard", `, ""), []string{"no row takes a discard"}},
 		"late aim":       {swap("aim = ms(80)", "aim = s(80)"), []string{"later than the deadline"}},
-		"twice":          {good + "gateway(name = \"x\")\n", []string{"gateway: stands at main.star:5:8 already"}},
+		"twice":          {goodScript + "gateway(name = \"x\")\n", []string{"gateway: stands at main.star:5:8 already"}},
 		"two at once": {swap("aim = ms(50)", "aim = 50") + "node(id = 1, cell = 0, nqn = \"x\", colour = 3)\n",
 			[]string{".aim: want a duration", "node(1).id: 1 stands twice", "node(1).colour: unknown field"}},
 		"syntax":   {"class_(\n", []string{"main.star:2:1"}},
@@ -92,9 +92,9 @@
 		"empty":    {"", []string{"class_: none is given", "volume: none is given", "node: none is given"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := read(c.script)
+			_, err := loadText(c.script)
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("the script was accepted")
 			}
 			for _, w := range c.want {
 				if !strings.Contains(err.Error(), w) {
@@ -106,23 +106,23 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := read("load('b.star', 'N')\n"+strings.Replace(good, "hosts = 3", "hosts = N", 1), "b.star", "N = 4\n")
+	c, err := loadText("load('b.star', 'N')\n"+strings.Replace(goodScript, "hosts = 3", "hosts = N", 1), "b.star", "N = 4\n")
 	if err != nil || c.Logic.Hosts != 4 || len(c.Files) != 2 {
 		t.Errorf("%v, %+v", err, c)
 	}
-	if _, err = read("load('b.star', 'x')", "b.star", "load('c.star', 'x')", "c.star", "load('b.star', 'x')"); err == nil ||
+	if _, err = loadText("load('b.star', 'x')", "b.star", "load('c.star', 'x')", "c.star", "load('b.star', 'x')"); err == nil ||
 		!strings.Contains(err.Error(), "load cycle: main.star loads b.star loads c.star loads b.star") {
 		t.Errorf("cycle: %v", err)
 	}
 }
 
-// Settings that are taken must also be settings that logic takes.
+// Package logic must accept all settings that load without an error.
 func FuzzSettings(f *testing.F) {
-	f.Add(good)
+	f.Add(goodScript)
 	f.Add("class_(name='x', aim=ms(1), deadline=s(1))")
 	f.Add("load('main.star', 'x')")
 	f.Fuzz(func(t *testing.T, text string) {
-		if c, err := read(text); err == nil {
+		if c, err := loadText(text); err == nil {
 			if _, err := logic.New(c.Logic, 1); err != nil {
 				t.Fatal(err)
 			}
