--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"appleplank/logic"
 )
 
-// Settings is the JSON of an Enlist as it comes. Keys that are not listed are skipped.
+// Settings is the JSON document in an Enlist event. Keys without a field here are ignored.
 type Settings struct {
 	AZ        int `json:"az"`
 	Balancers int `json:"balancers"`
@@ -76,7 +76,7 @@
 	Zones []string `json:"zones"`
 }
 
-// ParseSettings reads the settings of an Enlist.
+// ParseSettings decodes the settings of an Enlist event.
 func ParseSettings(text []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := json.Unmarshal(text, s); err != nil {
@@ -91,7 +91,8 @@
 	"retryable": logic.Retryable, "dedup": logic.Dedup, "fragile": logic.Fragile,
 }
 
-// Known returns the table's value, or the one given where the wire sends a word that no page lists.
+// Known returns the value of word in the table, or unknown if the simulator sends a word that the protocol does not
+// define.
 func Known[K comparable, V any](table map[K]V, word K, unknown V) V {
 	if v, ok := table[word]; ok {
 		return v
@@ -99,7 +100,7 @@
 	return unknown
 }
 
-// Logic gives the settings in the module's terms.
+// Logic converts the settings to those of package logic.
 func (s *Settings) Logic() logic.Settings {
 	us := func(v float64) logic.Micros { return logic.Micros(v) }
 	t := logic.Settings{
@@ -137,7 +138,7 @@
 	return t
 }
 
-// AddLoad adds one value of a load report, by its name in the settings, to l. Unknown names are skipped.
+// AddLoad stores one value of a load report in l. The field is its name in the settings; unknown names are ignored.
 func AddLoad(l *logic.Load, field string, v float64) {
 	switch field {
 	case "active":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire is the codec of the bench's frames: binary, little-endian, records of fixed size and
-// one tail per frame. It knows the layout of events and actions and holds no decision.
+// Package wire encodes and decodes the simulator's frames: binary and little-endian, with records of fixed size and one
+// tail per frame for data of variable size. It knows the layout of events and actions and makes no decisions.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"math"
 )
 
-// Sizes of the frame's parts in bytes.
+// Sizes of the parts of a frame, in bytes.
 const (
 	headerSize = 16
 	clockSize  = 8
@@ -20,7 +20,7 @@
 	entrySize  = 22
 )
 
-// Codes of the events.
+// Codes of the events that the simulator sends.
 const (
 	CodeEnlist         = 1
 	CodePeersKnown     = 2
@@ -35,7 +35,7 @@
 	CodeDirectory      = 11
 )
 
-// Codes of the actions.
+// Codes of the actions that answer them.
 const (
 	CodeRefresh      = 65
 	CodeAbortAttempt = 66
@@ -51,7 +51,7 @@
 	CodeInspect      = 76
 )
 
-// Entry is one line of a Directory.
+// Entry is one node in the list that a Directory event carries.
 type Entry struct {
 	Zone    uint16
 	Target  uint32
@@ -62,13 +62,13 @@
 	Family  uint8
 }
 
-// Telemetry is a load report: n values in the order the settings give.
+// Telemetry is a load report: N values in the order of the fields that the settings list under report.
 type Telemetry struct {
 	N      int
 	Values [4]float32
 }
 
-// Event is one decoded record; a field has a meaning only for the codes that carry it.
+// Event is one decoded record. A field is set only for the codes that carry it.
 type Event struct {
 	Code      uint8
 	Instance  uint16
@@ -99,7 +99,7 @@
 	Data      []byte
 }
 
-// Batch is one frame from the bench.
+// Batch is one frame from the simulator.
 type Batch struct {
 	Clock  uint64
 	Events []Event
@@ -107,8 +107,8 @@
 
 var le = binary.LittleEndian
 
-// ReadBatch reads one frame into b, reusing its memory. It returns io.EOF at a clean end of input and
-// otherwise an error that says what is wrong and where.
+// ReadBatch reads one frame into b and reuses the memory of b and buf. It returns io.EOF itself, not wrapped, if the
+// input ends between two frames. Any other error names the part of the frame that is invalid.
 func ReadBatch(r io.Reader, b *Batch, buf *bytes.Buffer) error {
 	var head [8]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
@@ -121,7 +121,7 @@
 	if size < clockSize || uint64(count)*eventSize > uint64(size)-clockSize {
 		return fmt.Errorf("frame header: %d records do not fit in %d bytes", count, size)
 	}
-	// The claimed length is never trusted with memory: the buffer grows as bytes arrive.
+	// The length in the header is not trusted: the buffer grows as bytes arrive and is not allocated in advance.
 	buf.Reset()
 	if n, err := io.CopyN(buf, r, int64(size)); err != nil {
 		return fmt.Errorf("frame body: %d of %d bytes: %w", n, size, err)
@@ -212,7 +212,8 @@
 		e.Data, err = span(p[7:], tail, 1)
 	case CodeDestroy:
 	case CodeDirectory:
-		// A Directory belongs to the whole process: its u16 is the buffer's number.
+		// A Directory is for the whole process: the field that holds the instance in other events is the number of
+		// the buffer.
 		e.Buffer = le.Uint16(p[1:])
 		e.Instance = 0
 		e.Entries, err = entries(p[3:], tail)
@@ -235,14 +236,14 @@
 	return list, nil
 }
 
-// Reply gathers the actions that answer one batch.
+// Reply collects the actions that answer one batch.
 type Reply struct {
 	records []byte
 	tail    []byte
 	count   uint32
 }
 
-// Reset empties the reply and keeps its memory.
+// Reset empties the reply and keeps the allocated memory.
 func (r *Reply) Reset() { r.records, r.tail, r.count = r.records[:0], r.tail[:0], 0 }
 
 func (r *Reply) record(code uint8, instance uint16) []byte {
@@ -261,7 +262,7 @@
 	r.tail = append(r.tail, data...)
 }
 
-// SubmitTo starts an attempt.
+// SubmitTo adds the action that starts an attempt at a target.
 func (r *Reply) SubmitTo(instance uint16, request uint64, target uint32, stopAt uint64) {
 	p := r.record(CodeSubmitTo, instance)
 	le.PutUint64(p[3:], request)
@@ -269,70 +270,70 @@
 	le.PutUint64(p[15:], stopAt)
 }
 
-// AbortAttempt calls an attempt off.
+// AbortAttempt adds the action that cancels an attempt.
 func (r *Reply) AbortAttempt(instance uint16, request uint64, attempt uint16) {
 	p := r.record(CodeAbortAttempt, instance)
 	le.PutUint64(p[3:], request)
 	le.PutUint16(p[11:], attempt)
 }
 
-// Deny refuses a request.
+// Deny adds the action that refuses a request. The client may retry it after coolDown.
 func (r *Reply) Deny(instance uint16, request uint64, coolDown uint32) {
 	p := r.record(CodeDeny, instance)
 	le.PutUint64(p[3:], request)
 	le.PutUint32(p[11:], coolDown)
 }
 
-// Surrender fails a request.
+// Surrender adds the action that fails a request.
 func (r *Reply) Surrender(instance uint16, request uint64) {
 	le.PutUint64(r.record(CodeSurrender, instance)[3:], request)
 }
 
-// WakeMe asks for a Fired event.
+// WakeMe adds the action that requests a Fired event with this handle.
 func (r *Reply) WakeMe(instance uint16, offset, handle uint32) {
 	p := r.record(CodeWakeMe, instance)
 	le.PutUint32(p[3:], offset)
 	le.PutUint32(p[7:], handle)
 }
 
-// Inspect probes a target.
+// Inspect adds the action that probes a target.
 func (r *Reply) Inspect(instance uint16, target uint32) {
 	le.PutUint32(r.record(CodeInspect, instance)[3:], target)
 }
 
-// Release closes the idle connections to a target.
+// Release adds the action that closes the idle connections to a target.
 func (r *Reply) Release(instance uint16, target uint32) {
 	le.PutUint32(r.record(CodeRelease, instance)[3:], target)
 }
 
-// Tail starts or stops the subscription to the list.
+// Tail adds the action that starts or stops the subscription to the list of nodes.
 func (r *Reply) Tail(instance uint16, active bool) {
 	if p := r.record(CodeTail, instance); active {
 		p[3] = 1
 	}
 }
 
-// Refresh asks for the full list.
+// Refresh adds the action that requests the full list of nodes.
 func (r *Reply) Refresh(instance uint16) { r.record(CodeRefresh, instance) }
 
-// NoteDown writes a line in the report.
+// NoteDown adds the action that writes a line to the report.
 func (r *Reply) NoteDown(instance uint16, text string) {
 	r.data(r.record(CodeNoteDown, instance)[3:], []byte(text))
 }
 
-// Exception says that the decision code failed.
+// Exception adds the action that reports a failure of the scheduler.
 func (r *Reply) Exception(instance uint16, text string) {
 	r.data(r.record(CodeException, instance)[3:], []byte(text))
 }
 
-// Tell sends bytes to a peer.
+// Tell adds the action that sends data to a peer.
 func (r *Reply) Tell(instance uint16, peer uint32, data []byte) {
 	p := r.record(CodeTell, instance)
 	le.PutUint32(p[3:], peer)
 	r.data(p[7:], data)
 }
 
-// WriteTo writes the reply as one frame.
+// WriteTo writes the reply to w as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	var head [8]byte
 	le.PutUint32(head[0:], r.count)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// frame builds a batch: records are hex without their zero padding.
+// frame builds the bytes of a batch. Records are in hex, without their zero padding.
 func frame(clock uint64, tail []byte, records ...string) []byte {
 	var body []byte
 	body = le.AppendUint64(body, clock)
@@ -153,7 +153,7 @@
 		t.Errorf("frame of %d bytes, %d records, length %d", len(b), le.Uint32(b), le.Uint32(b[4:]))
 	}
 	if got := b[8+5*actionSize+3]; got != 1 {
-		t.Error("Tail on is not on")
+		t.Error("Tail(true) does not set its flag")
 	}
 	if got := string(b[len(b)-3:]); got != "xyz" {
 		t.Errorf("tail %q", got)
