--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -10,10 +10,10 @@
 	"go.starlark.net/syntax"
 )
 
-// Problem is one thing that is wrong in a script, where it stands.
+// Problem is one error in a script with its position.
 type Problem struct {
 	Pos   syntax.Position
-	Field string // dotted name, as volume("orders").extents[1].cell
+	Field string // dotted name, such as volume("orders").extents[1].cell
 	Text  string
 }
 
@@ -25,7 +25,7 @@
 	return at + ": " + p.Text
 }
 
-// Problems are all that is wrong in a script.
+// Problems are all errors found in a script.
 type Problems []Problem
 
 func (ps Problems) Error() string {
@@ -39,27 +39,28 @@
 	return b.String()
 }
 
-// Form reads the keyword arguments of one call; every problem is kept and reading goes on.
+// Form reads the keyword arguments of one call, or the entries of a dict in a list. A problem with a field is added to
+// those of the loader and reading continues.
 type Form struct {
-	l     *Loader
-	Pos   syntax.Position
-	Name  string // how the call is called in complaints
-	given map[string]starlark.Value
-	known []string
+	l        *Loader
+	Pos      syntax.Position
+	Name     string // names the call in problems
+	args     map[string]starlark.Value
+	lookedUp []string
 }
 
-func (l *Loader) form(th *starlark.Thread, name string, args starlark.Tuple, kwargs []starlark.Tuple) *Form {
-	f := &Form{l: l, Pos: th.CallFrame(1).Pos, Name: name, given: map[string]starlark.Value{}}
+func (l *Loader) newForm(th *starlark.Thread, name string, args starlark.Tuple, kwargs []starlark.Tuple) *Form {
+	f := &Form{l: l, Pos: th.CallFrame(1).Pos, Name: name, args: map[string]starlark.Value{}}
 	if len(args) > 0 {
 		f.Bad("", "takes named arguments only")
 	}
 	for _, kv := range kwargs {
-		f.given[string(kv[0].(starlark.String))] = kv[1]
+		f.args[string(kv[0].(starlark.String))] = kv[1]
 	}
 	return f
 }
 
-// Bad keeps a problem with a field, or with the call where field is empty.
+// Bad adds a problem with a field, or with the whole call if field is empty.
 func (f *Form) Bad(field, format string, a ...any) {
 	at := f.Name
 	if field != "" {
@@ -68,34 +69,35 @@
 	f.l.Problems = append(f.l.Problems, Problem{f.Pos, at, fmt.Sprintf(format, a...)})
 }
 
-// Take finds a field; a field without a default must be given.
-func (f *Form) Take(name string, must bool) (starlark.Value, bool) {
-	f.known = append(f.known, name)
-	v, ok := f.given[name]
+// Take returns the value of a field and whether it is given; None counts as not given. It adds a problem if a required
+// field is missing.
+func (f *Form) Take(name string, required bool) (starlark.Value, bool) {
+	f.lookedUp = append(f.lookedUp, name)
+	v, ok := f.args[name]
 	if ok && v == starlark.None {
 		ok = false
 	}
-	if !ok && must {
+	if !ok && required {
 		f.Bad(name, "is missing")
 	}
 	return v, ok
 }
 
-// end complains of fields that no one has asked for.
-func (f *Form) end() {
-	var extra []string
-	for name := range f.given {
+// checkUnknown adds a problem for each given field that was never looked up.
+func (f *Form) checkUnknown() {
+	var unknown []string
+	for name := range f.args {
 		found := false
-		for _, k := range f.known {
+		for _, k := range f.lookedUp {
 			found = found || k == name
 		}
 		if !found {
-			extra = append(extra, name)
+			unknown = append(unknown, name)
 		}
 	}
-	sort.Strings(extra)
-	for _, name := range extra {
-		f.Bad(name, "unknown field; known are %s", strings.Join(f.known, ", "))
+	sort.Strings(unknown)
+	for _, name := range unknown {
+		f.Bad(name, "unknown field; known are %s", strings.Join(f.lookedUp, ", "))
 	}
 }
 
@@ -113,21 +115,24 @@
 		f.Bad(name, "want a %s such as %s, got %s %s", unit, example, v.Type(), v)
 		return max(fallback, 0)
 	}
-	if q.n < 0 {
+	if q.amount < 0 {
 		f.Bad(name, "%s is below zero", q)
 	}
-	return q.n
+	return q.amount
 }
 
-// Must stands for "no default" in the readers below.
+// Must, passed as the fallback of a numeric field or of a Word, makes the field required.
 const Must = -1
 
+// Duration reads a duration in microseconds.
 func (f *Form) Duration(name string, fallback int64) int64 {
 	return f.quantity(name, duration, fallback)
 }
+
+// Size reads a size in bytes.
 func (f *Form) Size(name string, fallback int64) int64 { return f.quantity(name, size, fallback) }
 
-// Number reads a finite number from zero up.
+// Number reads a finite number that is zero or greater.
 func (f *Form) Number(name string, fallback float64) float64 {
 	v, ok := f.Take(name, fallback < 0)
 	if !ok {
@@ -139,14 +144,14 @@
 		return max(fallback, 0)
 	}
 	if math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		f.Bad(name, "%v is no number that can be used", n)
+		f.Bad(name, "%v is not a finite number from zero up", n)
 		return max(fallback, 0)
 	}
 	return n
 }
 
-// Whole reads a whole number within bounds.
-func (f *Form) Whole(name string, fallback, least, most int64) int64 {
+// Whole reads an integer from minValue to maxValue.
+func (f *Form) Whole(name string, fallback, minValue, maxValue int64) int64 {
 	v, ok := f.Take(name, fallback < 0)
 	if !ok {
 		return max(fallback, 0)
@@ -160,16 +165,16 @@
 		f.Bad(name, "want a whole number, got %s %s", v.Type(), v)
 		return max(fallback, 0)
 	}
-	if n < least || n > most {
-		f.Bad(name, "%d is not between %d and %d", n, least, most)
-		return max(fallback, least)
+	if n < minValue || n > maxValue {
+		f.Bad(name, "%d is not between %d and %d", n, minValue, maxValue)
+		return max(fallback, minValue)
 	}
 	return n
 }
 
-// Text reads a text.
-func (f *Form) Text(name, fallback string, need bool) string {
-	v, ok := f.Take(name, need)
+// Text reads a string. If it is required, it must not be empty.
+func (f *Form) Text(name, fallback string, required bool) string {
+	v, ok := f.Take(name, required)
 	if !ok {
 		return fallback
 	}
@@ -178,7 +183,7 @@
 		f.Bad(name, "want text, got %s %s", v.Type(), v)
 		return fallback
 	}
-	if s == "" && need {
+	if s == "" && required {
 		f.Bad(name, "is empty")
 	}
 	return s
@@ -198,7 +203,7 @@
 	return bool(b)
 }
 
-// Word is one of a few texts; it gives its place among them.
+// Word reads a string that must be one of words, and returns its index among them.
 func (f *Form) Word(name string, fallback int, words ...string) int {
 	s := f.Text(name, "", fallback < 0)
 	if s == "" {
@@ -213,35 +218,35 @@
 	return max(fallback, 0)
 }
 
-// Each reads a list of dicts, each as a form of its own.
-func (f *Form) Each(name string, need bool, read func(*Form)) {
-	for i, v := range f.list(name, need) {
-		sub := &Form{l: f.l, Pos: f.Pos, Name: fmt.Sprintf("%s.%s[%d]", f.Name, name, i),
-			given: map[string]starlark.Value{}}
+// Each reads a list of dicts and passes each of them to read as a form.
+func (f *Form) Each(name string, required bool, read func(*Form)) {
+	for i, v := range f.list(name, required) {
+		element := &Form{l: f.l, Pos: f.Pos, Name: fmt.Sprintf("%s.%s[%d]", f.Name, name, i),
+			args: map[string]starlark.Value{}}
 		d, is := v.(*starlark.Dict)
 		if !is {
-			sub.Bad("", "want a dict, got %s", v.Type())
+			element.Bad("", "want a dict, got %s", v.Type())
 			continue
 		}
 		for _, kv := range d.Items() {
 			key, is := starlark.AsString(kv[0])
 			if !is {
-				sub.Bad("", "key %s is no text", kv[0])
+				element.Bad("", "key %s is no text", kv[0])
 				continue
 			}
-			sub.given[key] = kv[1]
+			element.args[key] = kv[1]
 		}
-		read(sub)
-		sub.end()
+		read(element)
+		element.checkUnknown()
 	}
 }
 
-// Wholes reads a list of whole numbers within bounds.
-func (f *Form) Wholes(name string, need bool, least, most int64) (out []int) {
-	for _, v := range f.list(name, need) {
+// Wholes reads a list of integers from minValue to maxValue. Elements that are not valid are left out.
+func (f *Form) Wholes(name string, required bool, minValue, maxValue int64) (out []int) {
+	for _, v := range f.list(name, required) {
 		n, err := starlark.AsInt32(v)
-		if err != nil || int64(n) < least || int64(n) > most {
-			f.Bad(name, "%s is no whole number between %d and %d", v, least, most)
+		if err != nil || int64(n) < minValue || int64(n) > maxValue {
+			f.Bad(name, "%s is no whole number between %d and %d", v, minValue, maxValue)
 			continue
 		}
 		out = append(out, n)
@@ -249,7 +254,7 @@
 	return out
 }
 
-// Texts reads a list of texts, empty where it is not given.
+// Texts reads a list of strings. It returns none if the field is not given, and leaves out elements of other types.
 func (f *Form) Texts(name string) (out []string) {
 	for _, v := range f.list(name, false) {
 		s, is := starlark.AsString(v)
@@ -262,9 +267,9 @@
 	return out
 }
 
-// list gives the values of a list, none where it is not given.
-func (f *Form) list(name string, need bool) (out []starlark.Value) {
-	v, ok := f.Take(name, need)
+// list returns the elements of a list, or none if the field is not given.
+func (f *Form) list(name string, required bool) (out []starlark.Value) {
+	v, ok := f.Take(name, required)
 	if !ok {
 		return nil
 	}
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -1,6 +1,6 @@
-// Package script evaluates the Starlark files that settings, days and experiments are written in: without I/O but
-// for files beside the first, and with a bound on steps. Their calls are read as forms whose fields are typed and
-// checked; every problem is kept with its place, not only the first.
+// Package script evaluates the Starlark files in which settings, days and experiments are written. A script has no I/O
+// except for loading files from its own folder, and a limited number of execution steps. Calls in a script are read as
+// forms with typed, validated fields. Every problem is collected with its position, not only the first.
 package script
 
 import (
@@ -15,54 +15,54 @@
 )
 
 const (
-	mostSteps = 2_000_000 // Starlark computation steps of all files together
-	mostFile  = 4 << 20   // bytes of one file
-	mostFiles = 64
+	maxSteps     = 2_000_000 // Starlark execution steps, all files together
+	maxFileBytes = 4 << 20   // size of one file
+	maxFiles     = 64
 )
 
 // Loader evaluates a script and the files that it loads.
 type Loader struct {
 	Problems Problems
-	Files    []string // those read, in order
+	Files    []string // the files read so far, in order
 
-	files   fs.FS
-	words   starlark.StringDict
-	loading []string // files being evaluated, for cycles
-	done    map[string]starlark.StringDict
-	steps   uint64
-	once    map[string]syntax.Position
+	files       fs.FS
+	predeclared starlark.StringDict
+	loading     []string // files being evaluated, to detect load cycles
+	loaded      map[string]starlark.StringDict
+	stepsUsed   uint64
+	firstCall   map[string]syntax.Position
 }
 
-// New makes a loader that reads from files and knows the units.
+// New returns a loader that reads from files and predeclares the units.
 func New(files fs.FS) *Loader {
-	return &Loader{files: files, words: Units(), done: map[string]starlark.StringDict{}, once: map[string]syntax.Position{}}
+	return &Loader{files: files, predeclared: Units(), loaded: map[string]starlark.StringDict{}, firstCall: map[string]syntax.Position{}}
 }
 
-// Many adds a call that may stand any number of times.
+// Many defines a function that a script may call any number of times. Each call is passed to read as a form.
 func (l *Loader) Many(name string, read func(*Form)) {
-	l.words[name] = starlark.NewBuiltin(name, func(th *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
+	l.predeclared[name] = starlark.NewBuiltin(name, func(th *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 		kwargs []starlark.Tuple) (starlark.Value, error) {
-		f := l.form(th, name, args, kwargs)
+		f := l.newForm(th, name, args, kwargs)
 		read(f)
-		f.end()
+		f.checkUnknown()
 		return starlark.None, nil
 	})
 }
 
-// Single adds a call that may stand once.
+// Single defines a function that a script may call at most once.
 func (l *Loader) Single(name string, read func(*Form)) {
 	l.Many(name, func(f *Form) {
-		if before, ok := l.once[name]; ok {
+		if before, ok := l.firstCall[name]; ok {
 			f.Bad("", "stands at %s already", before)
 		}
-		l.once[name] = f.Pos
+		l.firstCall[name] = f.Pos
 		read(f)
 	})
 }
 
-// Run evaluates the named file. The error is [Problems] unless the file could not be read.
+// Run evaluates the named file. The error is [Problems], unless the file could not be read.
 func (l *Loader) Run(name string) error {
-	if _, err := l.file(name); err != nil {
+	if _, err := l.evalFile(name); err != nil {
 		var p Problems
 		if !errors.As(err, &p) {
 			return err
@@ -75,25 +75,25 @@
 	return nil
 }
 
-// dialect allows what such scripts use in practice: loops and conditions at top level.
+// dialect enables what scripts use in practice, such as loops and conditions at top level.
 var dialect = &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, Set: true}
 
-func (l *Loader) file(name string) (starlark.StringDict, error) {
+func (l *Loader) evalFile(name string) (starlark.StringDict, error) {
 	if slices.Contains(l.loading, name) {
 		return nil, fmt.Errorf("load cycle: %s", strings.Join(append(l.loading, name), " loads "))
 	}
-	if d, ok := l.done[name]; ok {
+	if d, ok := l.loaded[name]; ok {
 		return d, nil
 	}
-	if len(l.Files) >= mostFiles {
-		return nil, fmt.Errorf("%s: more than %d files", name, mostFiles)
+	if len(l.Files) >= maxFiles {
+		return nil, fmt.Errorf("%s: more than %d files", name, maxFiles)
 	}
 	info, err := fs.Stat(l.files, name)
 	if err != nil {
 		return nil, fmt.Errorf("script: %w", err)
 	}
-	if info.Size() > mostFile || !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("script: %s: no regular file of at most %d bytes", name, mostFile)
+	if info.Size() > maxFileBytes || !info.Mode().IsRegular() {
+		return nil, fmt.Errorf("script: %s: no regular file of at most %d bytes", name, maxFileBytes)
 	}
 	src, err := fs.ReadFile(l.files, name)
 	if err != nil {
@@ -102,18 +102,18 @@
 	l.loading, l.Files = append(l.loading, name), append(l.Files, name)
 	defer func() { l.loading = l.loading[:len(l.loading)-1] }()
 	th := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}, Load: l.load}
-	th.SetMaxExecutionSteps(mostSteps - min(l.steps, mostSteps-1))
-	d, err := starlark.ExecFileOptions(dialect, th, name, src, l.words)
-	l.steps += th.ExecutionSteps()
+	th.SetMaxExecutionSteps(maxSteps - min(l.stepsUsed, maxSteps-1))
+	d, err := starlark.ExecFileOptions(dialect, th, name, src, l.predeclared)
+	l.stepsUsed += th.ExecutionSteps()
 	if err != nil {
-		return nil, explain(name, err)
+		return nil, asProblems(name, err)
 	}
-	l.done[name] = d
+	l.loaded[name] = d
 	return d, nil
 }
 
-// explain turns Starlark's errors into problems with a place.
-func explain(name string, err error) error {
+// asProblems converts an error of Starlark to problems with a position.
+func asProblems(name string, err error) error {
 	var p Problems
 	if errors.As(err, &p) {
 		return p
@@ -124,14 +124,14 @@
 	case errors.As(err, &eval):
 		pos := syntax.MakePosition(&name, 0, 0)
 		for _, f := range slices.Backward(eval.CallStack) {
-			if f.Pos.Line > 0 { // the innermost frame that stands in a file
+			if f.Pos.Line > 0 { // the innermost frame with a position in a file
 				pos = f.Pos
 				break
 			}
 		}
 		text := eval.Msg
 		if strings.Contains(text, "too many steps") {
-			text = fmt.Sprintf("the script takes more than %d steps", mostSteps)
+			text = fmt.Sprintf("the script takes more than %d steps", maxSteps)
 		}
 		return Problems{{pos, "", text}}
 	case errors.As(err, &syn):
@@ -144,5 +144,5 @@
 	if !fs.ValidPath(name) || strings.Contains(name, "..") {
 		return nil, fmt.Errorf("%q does not lie beside the script", name)
 	}
-	return l.file(name)
+	return l.evalFile(name)
 }
--- a/internal/script/values.go
+++ b/internal/script/values.go
@@ -8,11 +8,12 @@
 	"go.starlark.net/syntax"
 )
 
-// quantity is a typed number of a settings script: a duration in microseconds or a size in bytes. Both add
-// with their own kind and multiply by a plain number; nothing else, so that a unit can't be lost on the way.
+// quantity is a number with a unit: a duration in microseconds or a size in bytes. Quantities of the same unit can be
+// added and subtracted, and a quantity can be multiplied by a plain number. No other operation exists, so that a unit
+// cannot be lost.
 type quantity struct {
-	unit string // "duration" or "size"
-	n    int64
+	unit   string // "duration" or "size"
+	amount int64
 }
 
 const (
@@ -22,36 +23,36 @@
 
 func (q quantity) String() string {
 	if q.unit == duration {
-		return fmt.Sprintf("us(%d)", q.n)
+		return fmt.Sprintf("us(%d)", q.amount)
 	}
-	return fmt.Sprintf("B(%d)", q.n)
+	return fmt.Sprintf("B(%d)", q.amount)
 }
 func (q quantity) Type() string          { return q.unit }
 func (q quantity) Freeze()               {}
-func (q quantity) Truth() starlark.Bool  { return q.n != 0 }
-func (q quantity) Hash() (uint32, error) { return uint32(q.n) ^ uint32(q.n>>32), nil }
+func (q quantity) Truth() starlark.Bool  { return q.amount != 0 }
+func (q quantity) Hash() (uint32, error) { return uint32(q.amount) ^ uint32(q.amount>>32), nil }
 
-// Binary adds quantities of one unit and scales them by whole or broken numbers.
+// Binary adds and subtracts quantities of one unit and multiplies them by integers or floats.
 func (q quantity) Binary(op syntax.Token, y starlark.Value, side starlark.Side) (starlark.Value, error) {
 	switch y := y.(type) {
 	case quantity:
 		if y.unit != q.unit {
 			return nil, fmt.Errorf("%s and %s do not mix", q.unit, y.unit)
 		}
-		a, b := q.n, y.n
+		a, b := q.amount, y.amount
 		if side == starlark.Right {
 			a, b = b, a
 		}
 		switch op {
 		case syntax.PLUS:
-			return exact(q.unit, float64(a)+float64(b))
+			return newQuantity(q.unit, float64(a)+float64(b))
 		case syntax.MINUS:
-			return exact(q.unit, float64(a)-float64(b))
+			return newQuantity(q.unit, float64(a)-float64(b))
 		}
 	case starlark.Int, starlark.Float:
 		if op == syntax.STAR {
 			f, _ := starlark.AsFloat(y)
-			return exact(q.unit, float64(q.n)*f)
+			return newQuantity(q.unit, float64(q.amount)*f)
 		}
 	}
 	return nil, nil
@@ -64,9 +65,9 @@
 		return false, fmt.Errorf("%s and %s do not compare", q.unit, o.unit)
 	}
 	d := 0
-	if q.n < o.n {
+	if q.amount < o.amount {
 		d = -1
-	} else if q.n > o.n {
+	} else if q.amount > o.amount {
 		d = 1
 	}
 	switch op {
@@ -86,15 +87,15 @@
 	return false, fmt.Errorf("%s: unknown comparison", op)
 }
 
-// exact refuses what a float64 can't hold to the unit.
-func exact(unit string, f float64) (starlark.Value, error) {
+// newQuantity rounds f to a whole quantity. It returns an error above 2^53, where a float64 cannot represent every integer.
+func newQuantity(unit string, f float64) (starlark.Value, error) {
 	if math.IsNaN(f) || math.Abs(f) > 1<<53 {
 		return nil, fmt.Errorf("%s out of range", unit)
 	}
 	return quantity{unit, int64(math.Round(f))}, nil
 }
 
-func maker(name, unit string, scale float64) *starlark.Builtin {
+func newUnit(name, unit string, scale float64) *starlark.Builtin {
 	return starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple,
 		kwargs []starlark.Tuple) (starlark.Value, error) {
 		var v starlark.Value
@@ -105,7 +106,7 @@
 		if !ok || v.Type() == "bool" {
 			return nil, fmt.Errorf("%s: want a number, got %s", name, v.Type())
 		}
-		q, err := exact(unit, f*scale)
+		q, err := newQuantity(unit, f*scale)
 		if err != nil {
 			return nil, fmt.Errorf("%s(%v): %w", name, v, err)
 		}
@@ -113,14 +114,14 @@
 	})
 }
 
-// Units are the words of a script that make quantities.
+// Units returns the functions that make quantities in a script, such as ms and KiB.
 func Units() starlark.StringDict {
 	d := starlark.StringDict{}
 	for name, scale := range map[string]float64{"us": 1, "ms": 1e3, "s": 1e6, "minutes": 60e6} {
-		d[name] = maker(name, duration, scale)
+		d[name] = newUnit(name, duration, scale)
 	}
 	for name, scale := range map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30} {
-		d[name] = maker(name, size, scale)
+		d[name] = newUnit(name, size, scale)
 	}
 	return d
 }
