--- a/internal/report/copies.go
+++ b/internal/report/copies.go
@@ -9,8 +9,8 @@
 	"appleplank/internal/state"
 )
 
-// Copies writes how the copies of mirrored extents were when the gateway last wrote its state. It fails where one is
-// stale, so that scripts can wait for them.
+// Copies writes a table of the copies of mirrored extents as of the gateway's last saved state. It returns an error if a
+// copy is stale, so that scripts can wait until all have caught up.
 func Copies(w io.Writer, cfg *settings.Config) error {
 	if cfg.State.Dir == "" {
 		return fmt.Errorf("report: the settings keep no state")
@@ -30,11 +30,11 @@
 			}
 		}
 		for i, cell := range c.Cells {
-			how := "whole"
+			status := "whole"
 			if i >= len(c.Whole) || !c.Whole[i] {
-				how = "stale"
+				status = "stale"
 			}
-			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%s\t%d\t%d\t%d bytes\t%d\t\n", name, c.From, c.Len, cell, how, c.Stale, c.Moves, c.CaughtBytes, c.Refused)
+			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%s\t%d\t%d\t%d bytes\t%d\t\n", name, c.From, c.Len, cell, status, c.Stale, c.Moves, c.CaughtBytes, c.Refused)
 		}
 		stale += c.Stale
 	}
--- a/internal/report/copies_test.go
+++ b/internal/report/copies_test.go
@@ -12,7 +12,7 @@
 	cfg := &settings.Config{Volumes: []settings.Volume{{ID: 7, Name: "orders"}}}
 	var b strings.Builder
 	if Copies(&b, cfg) == nil {
-		t.Error("a report without state")
+		t.Error("Copies succeeded without a state folder")
 	}
 	cfg.State.Dir = t.TempDir()
 	s, err := state.Open(cfg.State.Dir, "test")
--- a/internal/report/crossing.go
+++ b/internal/report/crossing.go
@@ -1,4 +1,4 @@
-// Package report makes tables and charts of what a gateway has counted.
+// Package report writes tables and charts from a gateway's saved state, and extents for new volumes.
 package report
 
 import (
@@ -22,18 +22,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Row is bytes that crossed connections to nodes, by what they were for, named as the settings name it.
+// Row is the traffic on connections to nodes for one class, volume, zone and reason, with the names of the settings.
 type Row struct {
-	From                time.Time // the time in which they did; zero: all of it
+	From                time.Time // start of the interval; zero if the row covers all time
 	Class, Plan, Volume string
-	Zone, To            int // of gateway and node; below zero: not told
+	Zone, To            int // zones of the gateway and of the node; below zero if unknown
 	Reason              string
-	Home, Withheld      bool // did not cross; was not sent for the budget, which then says what it would have cost
+	Home, Withheld      bool // stayed in the zone; was withheld by the budget: the bytes are the avoided traffic
 	Attempts            uint64
 	Out, In             int64
 }
 
-// Crossing reads the ledger that a gateway of these settings keeps in its state folder, in all or over time.
+// Crossing reads the traffic counts in the state folder of a gateway with these settings: the totals, or with overTime
+// those of each interval.
 func Crossing(cfg *settings.Config, overTime bool) ([]Row, error) {
 	if cfg.State.Dir == "" {
 		return nil, fmt.Errorf("report: the settings keep no state, so nothing is counted over restarts")
@@ -43,11 +44,11 @@
 		return nil, err
 	}
 	var rows []Row
-	add := func(from time.Time, counts []crossing.Count) {
+	addCounts := func(from time.Time, counts []crossing.Count) {
 		for _, c := range counts {
-			why := engine.Reason(c.Reason)
+			reason := engine.Reason(c.Reason)
 			r := Row{From: from, Class: fmt.Sprint("class ", c.Class), Plan: "?", Volume: fmt.Sprint("volume ", c.Volume), Zone: cfg.Logic.Zone, To: c.Zone,
-				Reason: why.String(), Home: why == engine.AtHome, Withheld: why == engine.Withheld, Attempts: c.Attempts, Out: c.Out, In: c.In}
+				Reason: reason.String(), Home: reason == engine.AtHome, Withheld: reason == engine.Withheld, Attempts: c.Attempts, Out: c.Out, In: c.In}
 			if c.Class >= 0 && c.Class < len(cfg.Classes) {
 				r.Class = cfg.Classes[c.Class]
 			}
@@ -60,19 +61,19 @@
 		}
 	}
 	if !overTime {
-		add(time.Time{}, st.Crossed)
+		addCounts(time.Time{}, st.Crossed)
 		return rows, nil
 	}
 	for _, s := range st.History {
-		add(time.Unix(s.From, 0).UTC(), s.Counts)
+		addCounts(time.Unix(s.From, 0).UTC(), s.Counts)
 	}
 	return rows, nil
 }
 
-// fields are a row's columns, in order.
-var fields = []string{"time", "class", "plan", "volume", "from zone", "to zone", "reason", "attempts", "bytes out", "bytes in"}
+// columns are the headings of a row's columns, in order.
+var columns = []string{"time", "class", "plan", "volume", "from zone", "to zone", "reason", "attempts", "bytes out", "bytes in"}
 
-func (r *Row) values() []string {
+func (r *Row) columnValues() []string {
 	at, zone := "", func(z int) string {
 		if z < 0 {
 			return "?"
@@ -86,7 +87,7 @@
 		strconv.FormatInt(r.Out, 10), strconv.FormatInt(r.In, 10)}
 }
 
-// Table writes rows for a person, and what crossed in all.
+// Table writes the rows as a readable table, followed by the totals.
 func Table(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	line := func(values []string) {
@@ -95,38 +96,39 @@
 		}
 		fmt.Fprintln(t)
 	}
-	line(fields)
-	var home, away, held int64
+	line(columns)
+	var withinZone, betweenZones, withheld int64
 	for i := range rows {
-		line(rows[i].values())
+		line(rows[i].columnValues())
 		switch n := rows[i].Out + rows[i].In; {
 		case rows[i].Withheld:
-			held += n
+			withheld += n
 		case rows[i].Home:
-			home += n
+			withinZone += n
 		default:
-			away += n
+			betweenZones += n
 		}
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "%d bytes crossed between zones, %d stayed at home; the budget withheld requests that would have cost %d\n", away, home, held)
+	_, err := fmt.Fprintf(w, "%d bytes crossed between zones, %d stayed at home; the budget withheld requests that would have cost %d\n", betweenZones, withinZone, withheld)
 	return err
 }
 
-// CSV writes rows for programs.
+// CSV writes the rows as CSV with a header line.
 func CSV(w io.Writer, rows []Row) error {
 	c := csv.NewWriter(w)
-	c.Write(fields)
+	c.Write(columns)
 	for i := range rows {
-		c.Write(rows[i].values())
+		c.Write(rows[i].columnValues())
 	}
 	c.Flush()
 	return c.Error()
 }
 
-// Chart draws the bytes of each class to each zone; the format, svg, png or pdf, is the name's ending.
+// Chart draws a bar chart of the bytes of each class to and from each zone. The extension of path selects the format:
+// svg, png or pdf.
 func Chart(path string, rows []Row) error {
 	var classes []string
 	var zones []int
@@ -172,19 +174,19 @@
 	return p.Save(vg.Points(max(320, float64(60*len(classes)*len(zones)))), vg.Points(300), path)
 }
 
-// ChartOverTime draws what crossed, by class, as a line each, and what was withheld dashed.
+// ChartOverTime draws a line for the bytes between zones of each class, and a dashed one for the withheld bytes.
 func ChartOverTime(path string, rows []Row) error {
-	type line struct {
+	type series struct {
 		class    string
 		withheld bool
 	}
-	sums, times := map[line]map[int64]float64{}, []int64{}
-	var lines []line
+	sums, times := map[series]map[int64]float64{}, []int64{}
+	var lines []series
 	for _, r := range rows {
 		if r.Home || r.From.IsZero() {
 			continue
 		}
-		l, at := line{r.Class, r.Withheld}, r.From.Unix()
+		l, at := series{r.Class, r.Withheld}, r.From.Unix()
 		if sums[l] == nil {
 			sums[l] = map[int64]float64{}
 			lines = append(lines, l)
@@ -198,7 +200,7 @@
 		return fmt.Errorf("report: nothing has crossed yet")
 	}
 	slices.Sort(times)
-	slices.SortFunc(lines, func(a, b line) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+	slices.SortFunc(lines, func(a, b series) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Bytes between zones in %d minutes, gateway in zone %d", crossing.SlotLength/60, rows[0].Zone)
 	p.Y.Label.Text = "MiB"
@@ -206,7 +208,7 @@
 	p.Legend.Top = true
 	for i, l := range lines {
 		var at plotter.XYs
-		for _, t := range times { // a time without is a time with nothing
+		for _, t := range times { // an interval without a row counts as zero
 			at = append(at, plotter.XY{X: float64(t), Y: sums[l][t]})
 		}
 		x, points, err := plotter.NewLinePoints(at)
--- a/internal/report/crossing_test.go
+++ b/internal/report/crossing_test.go
@@ -32,7 +32,7 @@
 		t.Errorf("%+v", cfg.Crossing)
 	}
 	if _, err := Crossing(cfg, false); err == nil {
-		t.Error("a report of nothing")
+		t.Error("Crossing succeeded without a saved state")
 	}
 	s, err := state.Open(cfg.State.Dir, "test")
 	if err != nil {
@@ -64,17 +64,17 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	over, err := Crossing(cfg, true)
-	if err != nil || len(over) != 2 || over[0].From.Unix() != 1_800_000_000 || !over[1].Withheld {
-		t.Errorf("over time: %+v, %v", over, err)
+	overTime, err := Crossing(cfg, true)
+	if err != nil || len(overTime) != 2 || overTime[0].From.Unix() != 1_800_000_000 || !overTime[1].Withheld {
+		t.Errorf("over time: %+v, %v", overTime, err)
 	}
-	if err := ChartOverTime(filepath.Join(dir, "t.svg"), over); err != nil {
+	if err := ChartOverTime(filepath.Join(dir, "t.svg"), overTime); err != nil {
 		t.Error(err)
 	}
 	if ChartOverTime(filepath.Join(dir, "t.svg"), nil) == nil {
-		t.Error("a chart of no time")
+		t.Error("ChartOverTime succeeded without rows")
 	}
 	if Chart(filepath.Join(dir, "x.svg"), nil) == nil {
-		t.Error("a chart of nothing")
+		t.Error("Chart succeeded without rows")
 	}
 }
--- a/internal/report/place.go
+++ b/internal/report/place.go
@@ -12,22 +12,22 @@
 	"appleplank/placing"
 )
 
-// Cells is what settings and, where there is one, a gateway's state tell of the cells.
+// Cells returns what is known about each cell from the settings and, if the gateway has saved one, from its state.
 func Cells(cfg *settings.Config) ([]placing.Cell, error) {
 	var cells []placing.Cell
-	at := map[int]int{}
+	indexOf := map[int]int{}
 	for _, n := range cfg.Nodes {
-		if i, there := at[n.Cell]; there { // nodes of one cell hold the same
+		if i, known := indexOf[n.Cell]; known { // nodes of one cell hold the same data, so the smallest counts
 			cells[i].Capacity = min(cells[i].Capacity, n.Bytes)
 			continue
 		}
-		at[n.Cell] = len(cells)
+		indexOf[n.Cell] = len(cells)
 		cells = append(cells, placing.Cell{ID: n.Cell, Zone: n.Zone, Ready: true, Capacity: n.Bytes})
 	}
 	for _, v := range cfg.Volumes {
 		for _, x := range v.Extents {
 			for _, p := range x.Copies {
-				cells[at[p.Cell]].Used += x.Len
+				cells[indexOf[p.Cell]].Used += x.Len
 			}
 		}
 	}
@@ -42,47 +42,48 @@
 		return nil, err
 	}
 	for _, n := range st.Logic.Nodes {
-		i, there := at[n.Node.Cell]
+		i, there := indexOf[n.Node.Cell]
 		if !there {
 			continue
 		}
 		c := &cells[i]
 		c.Ready = n.Node.State == logic.Ready
 		c.FailureShare = n.Failing
-		c.Cold = n.Node.Started >= 0 && n.Node.Started < cfg.Logic.Rules.ColdTime // an age
+		c.Cold = n.Node.Started >= 0 && n.Node.Started < cfg.Logic.Rules.ColdTime // Started is an age in the saved state
 	}
 	return cells, nil
 }
 
-// Place writes extents for a new volume, as lines for its settings. Namespace is the one that it has at every cell.
+// Place writes the extents of a new volume of size bytes, as lines for its settings. The volume uses the same namespace
+// at every cell.
 func Place(w io.Writer, cfg *settings.Config, size, extent int64, copies int, namespace uint32) error {
 	cells, err := Cells(cfg)
 	if err != nil {
 		return err
 	}
-	base := map[int]int64{}
-	for _, v := range cfg.Volumes { // behind what lies there
+	nextByte := map[int]int64{}
+	for _, v := range cfg.Volumes { // start after the extents that are already in the namespace
 		for _, x := range v.Extents {
 			for _, p := range x.Copies {
 				if p.Namespace == namespace {
-					base[p.Cell] = max(base[p.Cell], p.Base+x.Len)
+					nextByte[p.Cell] = max(nextByte[p.Cell], p.Base+x.Len)
 				}
 			}
 		}
 	}
-	for at := int64(0); at < size; at += extent {
-		n := min(extent, size-at)
+	for offset := int64(0); offset < size; offset += extent {
+		n := min(extent, size-offset)
 		ids, err := placing.Place(cells, cfg.Logic.Zone, n, copies)
 		if err != nil {
 			return err
 		}
-		place := func(cell int) string {
-			base[cell] += n
-			return fmt.Sprintf("cell = %d, namespace = %d, base = B(%d)", cell, namespace, base[cell]-n)
+		placeCopy := func(cell int) string {
+			nextByte[cell] += n
+			return fmt.Sprintf("cell = %d, namespace = %d, base = B(%d)", cell, namespace, nextByte[cell]-n)
 		}
-		fmt.Fprintf(w, "    dict(size = B(%d), %s, mirrors = [", n, place(ids[0]))
+		fmt.Fprintf(w, "    dict(size = B(%d), %s, mirrors = [", n, placeCopy(ids[0]))
 		for _, id := range ids[1:] {
-			fmt.Fprintf(w, "dict(%s), ", place(id))
+			fmt.Fprintf(w, "dict(%s), ", placeCopy(id))
 		}
 		if _, err := fmt.Fprintln(w, "]),"); err != nil {
 			return err
