--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs the decision module on the bench's wire: one Host for each instance, batches
-// in on standard input, replies out on standard output. It translates and decides nothing.
+// Command wirehost connects package logic to the simulator's protocol. It runs one Host for each instance, reads batches
+// from standard input and writes replies to standard output. It translates and makes no decisions.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// instance is one host of this process with the events of the batch at hand.
+// instance is one host of this process with its events of the current batch.
 type instance struct {
 	number uint16
 	host   *logic.Host
@@ -30,11 +30,11 @@
 	queued bool
 }
 
-// adapter keeps the instances apart: they share the process's buffers and nothing else.
+// adapter holds the instances of the process. They share the process's buffers and nothing else.
 type adapter struct {
 	instances map[uint16]*instance
-	lists     map[uint16][]wire.Entry
-	turn      []*instance // those with events in this batch, in order of their first
+	nodeLists map[uint16][]wire.Entry
+	pending   []*instance // instances with events in this batch, in the order of their first event
 	reply     wire.Reply
 	actions   []logic.Action
 }
@@ -42,7 +42,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
-	a := &adapter{instances: map[uint16]*instance{}, lists: map[uint16][]wire.Entry{}}
+	a := &adapter{instances: map[uint16]*instance{}, nodeLists: map[uint16][]wire.Entry{}}
 	var batch wire.Batch
 	var buf bytes.Buffer
 	for n := 0; ; n++ {
@@ -53,7 +53,7 @@
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
-		if err := a.answer(&batch); err != nil {
+		if err := a.processBatch(&batch); err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
 		if _, err := a.reply.WriteTo(w); err != nil {
@@ -65,55 +65,55 @@
 	}
 }
 
-func (a *adapter) answer(b *wire.Batch) error {
+func (a *adapter) processBatch(b *wire.Batch) error {
 	a.reply.Reset()
-	a.turn = a.turn[:0]
+	a.pending = a.pending[:0]
 	for i := range b.Events {
 		e := &b.Events[i]
 		switch e.Code {
 		case wire.CodeDirectory:
-			a.lists[e.Buffer] = e.Entries
+			a.nodeLists[e.Buffer] = e.Entries
 		case wire.CodeEnlist:
-			a.drop(e.Instance)
+			a.removeInstance(e.Instance)
 			if err := a.enlist(e); err != nil {
 				return fmt.Errorf("record %d: %w", i, err)
 			}
 		case wire.CodeDestroy:
-			a.drop(e.Instance)
+			a.removeInstance(e.Instance)
 		default:
 			in := a.instances[e.Instance]
 			if in == nil {
 				fmt.Fprintf(os.Stderr, "wirehost: record %d, code %d: no instance %d\n", i, e.Code, e.Instance)
 				continue
 			}
-			if ev := in.translate(e, a.lists); ev != nil {
+			if ev := in.translate(e, a.nodeLists); ev != nil {
 				in.events = append(in.events, ev)
-				a.queue(in)
+				a.addPending(in)
 			}
 		}
 	}
-	for _, in := range a.turn {
+	for _, in := range a.pending {
 		if in.host == nil {
 			continue
 		}
 		a.actions = in.host.Step(logic.Micros(b.Clock), in.events, a.actions[:0])
 		for _, act := range a.actions {
-			a.write(in.number, act)
+			a.writeAction(in.number, act)
 		}
 		in.events, in.queued = in.events[:0], false
 	}
 	return nil
 }
 
-func (a *adapter) queue(in *instance) {
+func (a *adapter) addPending(in *instance) {
 	if !in.queued {
 		in.queued = true
-		a.turn = append(a.turn, in)
+		a.pending = append(a.pending, in)
 	}
 }
 
-// drop forgets an instance and whatever it was told earlier in this batch.
-func (a *adapter) drop(number uint16) {
+// removeInstance removes an instance and discards its events from earlier in this batch.
+func (a *adapter) removeInstance(number uint16) {
 	if in := a.instances[number]; in != nil {
 		in.host = nil
 		delete(a.instances, number)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (a *adapter) write(i uint16, act logic.Action) {
+func (a *adapter) writeAction(i uint16, act logic.Action) {
 	switch act := act.(type) {
 	case logic.Send:
 		a.reply.SubmitTo(i, uint64(act.Request), uint32(act.Node), uint64(act.StopAt))
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -14,7 +14,7 @@
 	"appleplank/internal/wire"
 )
 
-// TestMain lets the test binary stand in for the adapter, so that real processes are tested.
+// TestMain runs the adapter instead of the tests if WIREHOST_AS_ADAPTER is set, so that tests can start real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("WIREHOST_AS_ADAPTER") != "" {
 		main()
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-func adapterRun(t *testing.T, input []byte) (out []byte, stderr string, err error) {
+func runAdapter(t *testing.T, input []byte) (out []byte, stderr string, err error) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "WIREHOST_AS_ADAPTER=1")
@@ -44,8 +44,7 @@
  "serviceLevels":[{"baseRate":5,"floorRate":2,"shares":1,"neverOver":20,"limitBurst":40,"capSlack":6},
   {"baseRate":9,"floorRate":8,"shares":2}]}`
 
-// feed writes batches, keeps the attempts out of each instance and answers them, so that a run is a
-// dialogue like the bench's. The instances of one feed may be any part of the whole.
+// batch builds one frame of the simulator from events of any instances.
 type batch struct {
 	records []byte
 	tail    []byte
@@ -77,7 +76,7 @@
 	b.tail = append(b.tail, settings...)
 }
 
-// directory lists nodes 100.. for shards 0.. in the given buffer and tells the instance of it.
+// directory lists the nodes from 100 and the cells from 0 in the given buffer and announces it to the instances.
 func (b *batch) directory(buffer uint16, nodes int, instances ...uint16) {
 	p := b.record(11, buffer)
 	binary.LittleEndian.PutUint32(p[3:], uint32(len(b.tail)))
@@ -95,7 +94,7 @@
 	}
 }
 
-func (b *batch) order(instance uint16, id uint64, class, plan uint16, cell float32, volume, dropDead uint64) {
+func (b *batch) order(instance uint16, id uint64, class, plan uint16, cell float32, volume, deadline uint64) {
 	p := b.record(3, instance)
 	binary.LittleEndian.PutUint64(p[3:], id)
 	binary.LittleEndian.PutUint16(p[11:], class)
@@ -103,13 +102,13 @@
 	binary.LittleEndian.PutUint64(p[18:], id%5)
 	binary.LittleEndian.PutUint64(p[26:], volume)
 	binary.LittleEndian.PutUint32(p[34:], math.Float32bits(2))
-	binary.LittleEndian.PutUint64(p[38:], dropDead)
+	binary.LittleEndian.PutUint64(p[38:], deadline)
 	binary.LittleEndian.PutUint32(p[46:], math.Float32bits(float32(id%6+1)))
 	binary.LittleEndian.PutUint16(p[50:], plan)
 }
 
-// script makes the input of the given instances; its events do not depend on which others share the input.
-func script(instances ...uint16) []byte {
+// buildInput builds the input for the given instances. The events of an instance do not depend on the others.
+func buildInput(instances ...uint16) []byte {
 	var in bytes.Buffer
 	var b batch
 	for _, i := range instances {
@@ -142,8 +141,8 @@
 	return in.Bytes()
 }
 
-// actionsOf splits the replies into the records of each instance.
-func actionsOf(t *testing.T, out []byte) map[uint16]string {
+// actionsByInstance splits the replies into the records of each instance.
+func actionsByInstance(t *testing.T, out []byte) map[uint16]string {
 	t.Helper()
 	all := map[uint16]string{}
 	for n := 0; len(out) > 0; n++ {
@@ -158,7 +157,7 @@
 	return all
 }
 
-// TestCoolDownSettings: both facts about advice to clients reach the module.
+// TestCoolDownSettings checks that both settings of the retry advice to clients reach package logic.
 func TestCoolDownSettings(t *testing.T) {
 	s, err := wire.ParseSettings([]byte(testSettings))
 	if err != nil {
@@ -170,22 +169,22 @@
 }
 
 func TestSpreadOverProcesses(t *testing.T) {
-	together, stderr, err := adapterRun(t, script(0, 1, 2))
+	together, stderr, err := runAdapter(t, buildInput(0, 1, 2))
 	if err != nil {
 		t.Fatal(err, stderr)
 	}
-	again, _, _ := adapterRun(t, script(0, 1, 2))
+	again, _, _ := runAdapter(t, buildInput(0, 1, 2))
 	if !bytes.Equal(together, again) {
 		t.Error("two runs on the same input differ")
 	}
-	want := actionsOf(t, together)
+	want := actionsByInstance(t, together)
 	for _, i := range []uint16{0, 1, 2} {
-		alone, stderr, err := adapterRun(t, script(i))
+		alone, stderr, err := runAdapter(t, buildInput(i))
 		if err != nil {
 			t.Fatal(err, stderr)
 		}
-		if got := actionsOf(t, alone)[i]; got != want[i] || strings.Count(got, "\n") < 100 {
-			t.Errorf("instance %d acts otherwise in a process of its own (%d actions)", i, strings.Count(got, "\n"))
+		if got := actionsByInstance(t, alone)[i]; got != want[i] || strings.Count(got, "\n") < 100 {
+			t.Errorf("instance %d acts differently in a separate process (%d actions)", i, strings.Count(got, "\n"))
 		}
 	}
 }
@@ -197,19 +196,19 @@
 	b.directory(0, 3, 4)
 	in.Write(b.bytes(1000))
 	b = batch{}
-	b.order(4, 60, 0, 1, 0, 1, 9_000_000) // dies with the instance
+	b.order(4, 60, 0, 1, 0, 1, 9_000_000) // removed with the instance
 	b.record(10, 4)
 	b.enlist(4, testSettings)
-	b.directory(0, 1, 4) // the buffer's number is used again
+	b.directory(0, 1, 4) // uses the same buffer number again
 	b.order(4, 66, 0, 1, 0, 1, 9_000_000)
-	b.order(4, 72, 0, 1, 2, 1, 9_000_000) // its node is in the old list only
+	b.order(4, 72, 0, 1, 2, 1, 9_000_000) // its node is only in the old list
 	in.Write(b.bytes(2000))
-	out, stderr, err := adapterRun(t, in.Bytes())
+	out, stderr, err := runAdapter(t, in.Bytes())
 	if err != nil {
 		t.Fatal(err, stderr)
 	}
 	var sent []uint64
-	for _, line := range strings.Fields(actionsOf(t, out)[4]) {
+	for _, line := range strings.Fields(actionsByInstance(t, out)[4]) {
 		var p []byte
 		fmt.Sscanf(line[strings.Index(line, ":")+1:], "%x", &p)
 		if p[0] == 67 {
@@ -230,16 +229,16 @@
 	for _, c := range []struct {
 		name  string
 		input []byte
-		want  string // "" : exits well
+		want  string // empty: the process exits with status 0
 	}{
 		{"no input", nil, ""},
 		{"empty batches", append(new(batch).bytes(1), new(batch).bytes(2)...), ""},
 		{"half a frame", []byte{1, 0, 0}, "batch 0: frame header"},
 		{"bad JSON", enlist(`{"balancers":`), "batch 0: record 0: instance 1: settings"},
-		{"settings that cannot be", enlist(`{"balancers":2}`), "Classes is empty"},
-		{"a length that is a lie", append(new(batch).bytes(1), 0, 0, 0, 0, 255, 255, 255, 255), "batch 1: frame body"},
+		{"settings without classes", enlist(`{"balancers":2}`), "Classes is empty"},
+		{"a length beyond the input", append(new(batch).bytes(1), 0, 0, 0, 0, 255, 255, 255, 255), "batch 1: frame body"},
 	} {
-		_, stderr, err := adapterRun(t, c.input)
+		_, stderr, err := runAdapter(t, c.input)
 		if c.want == "" {
 			if err != nil {
 				t.Errorf("%s: %v, %s", c.name, err, stderr)
@@ -260,8 +259,8 @@
 	b.record(99, 1)
 	b.record(7, 42)
 	b.order(1, 66, 0, 1, 0, 1, 9_000_000)
-	out, stderr, err := adapterRun(t, b.bytes(1000))
-	if err != nil || !strings.Contains(actionsOf(t, out)[1], ":43") {
+	out, stderr, err := runAdapter(t, b.bytes(1000))
+	if err != nil || !strings.Contains(actionsByInstance(t, out)[1], ":43") {
 		t.Errorf("%v, %s, %x", err, stderr, out)
 	}
 }
--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -16,7 +16,7 @@
 	0: logic.ListCached, 1: logic.ListFull, 2: logic.ListFailed, 3: logic.ListDelta,
 }
 
-func (in *instance) load(t *wire.Telemetry) logic.Load {
+func (in *instance) decodeLoad(t *wire.Telemetry) logic.Load {
 	l := logic.NoLoad
 	for i := 0; i < t.N && i < len(in.fields); i++ {
 		wire.AddLoad(&l, in.fields[i], float64(t.Values[i]))
@@ -24,7 +24,7 @@
 	return l
 }
 
-// translate turns a wire event into the module's terms; nil where the module has no such event.
+// translate converts an event of the protocol to one of package logic. It returns nil if logic has no such event.
 func (in *instance) translate(e *wire.Event, lists map[uint16][]wire.Entry) logic.Event {
 	switch e.Code {
 	case wire.CodePeersKnown:
@@ -51,7 +51,7 @@
 		return logic.AttemptEnded{
 			Request: logic.RequestID(e.Request), Attempt: int(e.Attempt), Node: logic.NodeID(e.Target),
 			Outcome: wire.Known(outcomes, e.Outcome, logic.Failed), Took: logic.Micros(e.Wait),
-			Settled: e.Settled, Used: int(e.Used), Elsewhere: int(e.Elsewhere), Load: in.load(&e.Load),
+			Settled: e.Settled, Used: int(e.Used), Elsewhere: int(e.Elsewhere), Load: in.decodeLoad(&e.Load),
 		}
 	case wire.CodeTimedOutClient:
 		return logic.ClientGone{Request: logic.RequestID(e.Request)}
@@ -60,8 +60,8 @@
 	case wire.CodeStatusBack:
 		return logic.ProbeEnded{
 			Node: logic.NodeID(e.Target), Outcome: wire.Known(outcomes, e.Outcome, logic.Failed),
-			Took: logic.Micros(e.Wait), Load: in.load(&e.Load),
+			Took: logic.Micros(e.Wait), Load: in.decodeLoad(&e.Load),
 		}
 	}
-	return nil // Mail: hosts share nothing, the module has no such event
+	return nil // Mail: hosts do not communicate, so logic has no such event
 }
--- a/internal/report/copies.go
+++ b/internal/report/copies.go
@@ -9,8 +9,8 @@
 	"appleplank/internal/state"
 )
 
-// Copies writes a table of the copies of mirrored extents as of the gateway's last saved state. It returns an error if a
-// copy is stale, so that scripts can wait until all have caught up.
+// Copies writes a table of the copies of mirrored extents as of the gateway's last saved state. It returns an error if
+// a copy is stale, so that scripts can wait until all have caught up.
 func Copies(w io.Writer, cfg *settings.Config) error {
 	if cfg.State.Dir == "" {
 		return fmt.Errorf("report: the settings keep no state")
--- a/internal/script/values.go
+++ b/internal/script/values.go
@@ -87,7 +87,8 @@
 	return false, fmt.Errorf("%s: unknown comparison", op)
 }
 
-// newQuantity rounds f to a whole quantity. It returns an error above 2^53, where a float64 cannot represent every integer.
+// newQuantity rounds f to a whole quantity. It returns an error above 2^53, where a float64 cannot represent every
+// integer.
 func newQuantity(unit string, f float64) (starlark.Value, error) {
 	if math.IsNaN(f) || math.Abs(f) > 1<<53 {
 		return nil, fmt.Errorf("%s out of range", unit)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -138,8 +138,8 @@
 	Bytes   int64 // capacity; 0 if unknown. Only the placement of new volumes reads it
 }
 
-// Directory is the discovery controller that reports which nodes exist. Without an address the gateway uses the nodes of
-// the settings.
+// Directory is the discovery controller that reports which nodes exist. Without an address the gateway uses the nodes
+// of the settings.
 type Directory struct {
 	Address string
 	Every   logic.Micros // maximum time between two queries
