--- a/cmd/appleplank/catalogue.go
+++ b/cmd/appleplank/catalogue.go
@@ -13,7 +13,7 @@
 
 func catalogueCommand() *cobra.Command {
 	c := &cobra.Command{Use: "catalogue", Short: "Look at what the files of WebDAV trees are, while their gateway is stopped"}
-	sub := func(use, short string, each func(volume string, cat *catalogue.Catalogue) error) {
+	addSubcommand := func(use, short string, run func(volume string, cat *catalogue.Catalogue) error) {
 		var path string
 		s := &cobra.Command{Use: use + " -c FILE", Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			cfg, err := settings.Load(path)
@@ -26,7 +26,7 @@
 					if err != nil {
 						return err
 					}
-					err = each(cfg.Volumes[t.Volume].Name, cat)
+					err = run(cfg.Volumes[t.Volume].Name, cat)
 					cat.Close()
 					if err != nil {
 						return err
@@ -39,7 +39,7 @@
 		s.MarkFlagRequired("config")
 		c.AddCommand(s)
 	}
-	sub("check", "Look for names, entries and objects that cannot be; fails where there are any", func(volume string, cat *catalogue.Catalogue) error {
+	addSubcommand("check", "Look for names, entries and objects that cannot be; fails where there are any", func(volume string, cat *catalogue.Catalogue) error {
 		problems, files, folders, err := cat.Check()
 		if err != nil {
 			return err
@@ -53,14 +53,14 @@
 		}
 		return nil
 	})
-	sub("repair", "Make a catalogue sound: what leads nowhere goes, what has no name comes to /lost+found", func(volume string, cat *catalogue.Catalogue) error {
+	addSubcommand("repair", "Make a catalogue sound: what leads nowhere goes, what has no name comes to /lost+found", func(volume string, cat *catalogue.Catalogue) error {
 		done, err := cat.Repair()
 		for _, d := range done {
 			fmt.Printf("%s: %s\n", volume, d)
 		}
 		return err
 	})
-	sub("export", "Print every name with its size, version and objects", func(volume string, cat *catalogue.Catalogue) error {
+	addSubcommand("export", "Print every name with its size, version and objects", func(volume string, cat *catalogue.Catalogue) error {
 		return cat.Export(os.Stdout)
 	})
 	return c
--- a/cmd/appleplank/demo.go
+++ b/cmd/appleplank/demo.go
@@ -22,7 +22,7 @@
 			"temporary folder. Then print how each class was served and whether the rules were kept; exit status 1 if one broke.\n" +
 			"With --hold the fleet is kept up instead: one line of JSON says where everything is.",
 		RunE: func(*cobra.Command, []string) (err error) {
-			d, err := demoDay(path)
+			d, err := loadDay(path)
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 					return exec.Command(self, "serve", "-c", settings, fmt.Sprintf("--takeover=%v", takeover))
 				}}
 			if hold {
-				first, _, stop := untilSignal()
+				first, _, stop := signalContexts()
 				defer stop()
 				return demo.Hold(o, first.Done())
 			}
@@ -64,7 +64,7 @@
 	return c
 }
 
-func demoDay(path string) (*day.Day, error) {
+func loadDay(path string) (*day.Day, error) {
 	if path != "" {
 		return day.Load(path, demo.Shape)
 	}
--- a/cmd/appleplank/directory.go
+++ b/cmd/appleplank/directory.go
@@ -40,7 +40,7 @@
 			}
 			log.Info("directory is up", zap.String("address", d.Address()), zap.Int("nodes", len(entries)))
 			fmt.Println(d.Address())
-			first, _, stop := untilSignal()
+			first, _, stop := signalContexts()
 			defer stop()
 			<-first.Done()
 			d.Close()
--- a/cmd/appleplank/initiator.go
+++ b/cmd/appleplank/initiator.go
@@ -13,11 +13,12 @@
 	"go.uber.org/zap"
 )
 
-// traceVariable turns the trace on where the command line is not ours to change, by any value.
+// traceVariable names the environment variable that turns the trace on, with any value except an empty one, for callers
+// that cannot change the command line.
 const traceVariable = "APPLEPLANK_TRACE"
 
 func initiatorCommand(logger func() (*zap.Logger, error)) *cobra.Command {
-	traced := false
+	traceEnabled := false
 	c := &cobra.Command{
 		Use: "initiator", Short: "Run an initiator of the platform", Args: cobra.NoArgs,
 		Long: "Run an initiator of the platform, as its configuration file (ROUTER_CONFIG) says. SIGHUP takes a new file, whole\n" +
@@ -30,10 +31,10 @@
 				return err
 			}
 			defer log.Sync()
-			first, _, stop := untilSignal()
+			first, _, stop := signalContexts()
 			defer stop()
 			var tr *trace.Writer
-			if traced {
+			if traceEnabled {
 				tr = trace.New(os.Stderr)
 				stop := make(chan struct{})
 				defer close(stop)
@@ -47,7 +48,7 @@
 			return in.Run(first, reload)
 		},
 	}
-	c.Flags().BoolVar(&traced, "trace", os.Getenv(traceVariable) != "", "write what is believed of each attempt, and what passed on its socket, to standard error")
+	c.Flags().BoolVar(&traceEnabled, "trace", os.Getenv(traceVariable) != "", "write what is believed of each attempt, and what passed on its socket, to standard error")
 	return c
 }
 
--- a/cmd/appleplank/main.go
+++ b/cmd/appleplank/main.go
@@ -1,5 +1,5 @@
-// Command appleplank is a storage gateway: block clients reach it by vhost-user rings, it reaches storage nodes by
-// NVMe over TCP, and package logic decides what is sent when.
+// Command appleplank is a storage gateway. Block clients connect to it with vhost-user, it connects to storage nodes with
+// NVMe over TCP, and package logic schedules the requests.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	}
 }
 
-// exitCode is an error that was told already.
+// exitCode is an error that has already been reported. The process exits with this status and prints nothing more.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
@@ -62,8 +62,9 @@
 	return cfg.Build()
 }
 
-// untilSignal gives a context that ends with the first SIGTERM or interrupt, and one that ends with the second.
-func untilSignal() (first, second context.Context, stop func()) {
+// signalContexts returns a context that is cancelled by the first SIGTERM or interrupt, and one that is cancelled by the
+// second. The caller must call stop.
+func signalContexts() (first, second context.Context, stop func()) {
 	first, cancelFirst := context.WithCancel(context.Background())
 	second, cancelSecond := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
--- a/cmd/appleplank/main_test.go
+++ b/cmd/appleplank/main_test.go
@@ -17,7 +17,7 @@
 	"appleplank/internal/standin"
 )
 
-// The test binary is the command itself when it is told so.
+// TestMain runs the command instead of the tests if APPLEPLANK_MAIN is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("APPLEPLANK_MAIN") != "" {
 		main()
@@ -32,16 +32,17 @@
 	return c
 }
 
-func shape() fleet.Shape {
+func oneNodeShape() fleet.Shape {
 	return fleet.Shape{Nodes: 1, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head,
 		Volumes: []fleet.Volume{{Name: "disk", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE"}}}
 }
 
-// SIGTERM: what is held is answered, nothing new is taken, and the status is 0. A second one ends it at once.
+// After SIGTERM the gateway answers the requests that it holds, accepts no new ones and exits with status 0. A second
+// SIGTERM ends the process at once.
 func TestServeDrains(t *testing.T) {
 	for name, twice := range map[string]bool{"once": false, "twice": true} {
 		t.Run(name, func(t *testing.T) {
-			f, err := fleet.New(t.TempDir(), shape())
+			f, err := fleet.New(t.TempDir(), oneNodeShape())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -72,7 +73,7 @@
 					t.Errorf("ended with %v, want status 1", err)
 				}
 				if took := time.Since(began); took > 1500*time.Millisecond { // the request's deadline is 2 s away
-					t.Errorf("took %v to end at once", took)
+					t.Errorf("the second SIGTERM took %v to end the process", took)
 				}
 				return
 			}
@@ -81,23 +82,23 @@
 			select {
 			case st := <-answer:
 				if st != 0 {
-					t.Errorf("what was held was answered with status %d", st)
+					t.Errorf("the held request was answered with status %d", st)
 				}
 			case <-time.After(5 * time.Second):
-				t.Error("what was held was never answered")
+				t.Error("the held request was never answered")
 			}
 			if err := c.Wait(); err != nil {
 				t.Errorf("ended with %v, want status 0", err)
 			}
 			if _, err := standin.Dial(f.Socket(0, "disk"), standin.ClientConfig{}); err == nil {
-				t.Error("the socket still takes clients")
+				t.Error("the socket still accepts clients")
 			}
 		})
 	}
 }
 
 func TestCheck(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), shape())
+	f, err := fleet.New(t.TempDir(), oneNodeShape())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +120,7 @@
 	}
 }
 
-// A short day through the real command, gateways and all: the report is there and no rule broke.
+// Plays a short day with the real command, its gateways included: it prints a report and no rule is broken.
 func TestDemo(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "short.star")
 	os.WriteFile(path, []byte(`day(name = "short", length = s(4), rate = 150)
@@ -136,7 +137,7 @@
 	}
 }
 
-// demo --hold says where everything is, and a client finds it there.
+// demo --hold prints the addresses of the fleet, and a client can connect to the printed socket.
 func TestHold(t *testing.T) {
 	c := command("demo", "--hold")
 	pipe, err := c.StdoutPipe()
@@ -165,14 +166,14 @@
 		t.Errorf("ended with %v", err)
 	}
 	if _, err := os.Stat(h.Dir); !os.IsNotExist(err) {
-		t.Errorf("the folder is left: %v", err)
+		t.Errorf("the temporary folder was not removed: %v", err)
 	}
 }
 
-// serve --takeover of the real command: the old process ends with status 0 and the client goes on; with settings that
-// are refused it ends itself, and the old one goes on.
+// With serve --takeover the old process exits with status 0 and the client continues with the new one. If the settings of
+// the new process are invalid, it exits with an error and the old process continues.
 func TestServeTakeover(t *testing.T) {
-	s := shape()
+	s := oneNodeShape()
 	s.More = "state(dir = \"kept\")\n"
 	f, err := fleet.New(t.TempDir(), s)
 	if err != nil {
@@ -189,13 +190,13 @@
 		t.Fatal(err)
 	}
 	defer cl.Vanish()
-	serves := func(who string) {
+	checkServed := func(who string) {
 		t.Helper()
 		if r, err := cl.Do(0, 1, 0, make([]byte, 4096), 4096); err != nil || r.Status != 0 {
 			t.Errorf("%s: status %d, %v", who, r.Status, err)
 		}
 	}
-	serves("the old process")
+	checkServed("the old process")
 	bad := filepath.Join(f.Dir, "bad.star")
 	text, _ := os.ReadFile(f.Settings[0])
 	os.WriteFile(bad, append(text, "gateway(name = 3)\n"...), 0o644)
@@ -205,7 +206,7 @@
 	if out, err := command("serve", "-c", f.Settings[0]).CombinedOutput(); err == nil || !strings.Contains(string(out), "is held by gateway gw0, process") {
 		t.Errorf("a second process on the folder: %v: %s", err, out)
 	}
-	serves("the old process, after a failed takeover")
+	checkServed("the old process, after a failed takeover")
 	next := command("serve", "--takeover", "-c", f.Settings[0], "--log", "error")
 	if err := next.Start(); err != nil {
 		t.Fatal(err)
@@ -214,7 +215,7 @@
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
-	serves("the new process")
+	checkServed("the new process")
 	next.Process.Signal(syscall.SIGTERM)
 	if err := next.Wait(); err != nil {
 		t.Errorf("the new process ended with %v", err)
--- a/cmd/appleplank/node.go
+++ b/cmd/appleplank/node.go
@@ -14,7 +14,7 @@
 
 func nodeCommand(logger func() (*zap.Logger, error)) *cobra.Command {
 	var cfg standin.NodeConfig
-	var spaces []string
+	var namespaces []string
 	var trouble standin.Trouble
 	var warm bool
 	c := &cobra.Command{
@@ -25,7 +25,7 @@
 				return err
 			}
 			cfg.Namespaces = map[uint32]int64{}
-			for _, s := range spaces {
+			for _, s := range namespaces {
 				id, size, ok := strings.Cut(s, "=")
 				n, err1 := strconv.ParseUint(id, 10, 32)
 				b, err2 := strconv.ParseInt(size, 10, 64)
@@ -41,7 +41,7 @@
 			}
 			log.Info("node is up", zap.String("address", n.Address()), zap.String("nqn", cfg.NQN))
 			fmt.Println(n.Address())
-			first, _, stop := untilSignal()
+			first, _, stop := signalContexts()
 			defer stop()
 			<-first.Done()
 			n.Crash()
@@ -51,7 +51,7 @@
 	f := c.Flags()
 	f.StringVar(&cfg.NQN, "nqn", "nqn.2026-12.example.standin:node", "qualified name of its subsystem")
 	f.StringVar(&cfg.Address, "listen", "127.0.0.1:0", "address; port 0 picks one, which is printed")
-	f.StringArrayVar(&spaces, "namespace", []string{"1=67108864"}, "ID=BYTES, any number of times")
+	f.StringArrayVar(&namespaces, "namespace", []string{"1=67108864"}, "ID=BYTES, any number of times")
 	f.Uint32Var(&cfg.BlockSize, "block", 512, "bytes of a block")
 	f.IntVar(&cfg.Cores, "cores", 2, "commands worked on at a time")
 	f.DurationVar(&cfg.Base, "base", 0, "work of a command")
--- a/cmd/appleplank/serve.go
+++ b/cmd/appleplank/serve.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			first, second, stop := untilSignal()
+			first, second, stop := signalContexts()
 			defer stop()
 			log.Info("serving", zap.String("gateway", cfg.Name), zap.Int("pid", os.Getpid()), zap.Int("volumes", len(cfg.Volumes)),
 				zap.Int("nodes", len(cfg.Nodes)))
