--- a/internal/front/ring/handover.go
+++ b/internal/front/ring/handover.go
@@ -297,7 +297,7 @@
 		if v.Socket == "" {
 			continue
 		}
-		l := &listener{dev: device{v, i, cfg.Bounds.MostBytes}, sessions: map[*session]bool{}}
+		l := &listener{dev: device{v, i, cfg.Bounds.MaxRequestBytes}, sessions: map[*session]bool{}}
 		for j := range h.Listeners {
 			if x := &h.Listeners[j]; x.Volume == v.Name && x.FD >= 0 {
 				f := os.NewFile(uintptr(x.FD), "listener")
--- a/internal/front/ring/server.go
+++ b/internal/front/ring/server.go
@@ -79,7 +79,7 @@
 			s.Close()
 			return nil, fmt.Errorf("volume %q: %w", v.Name, err)
 		}
-		s.volumes = append(s.volumes, &listener{dev: device{v, i, cfg.Bounds.MostBytes}, socket: l, sessions: map[*session]bool{}})
+		s.volumes = append(s.volumes, &listener{dev: device{v, i, cfg.Bounds.MaxRequestBytes}, socket: l, sessions: map[*session]bool{}})
 	}
 	return s, nil
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -98,7 +98,7 @@
 	l.config.Name = "gateway"
 	l.config.Logic.Hosts, l.config.Logic.DrawnAtNode = 1, true
 	l.config.Times = Times{AnswerMargin: 20_000, Connect: 2_000_000, KeepAlive: 10_000_000, Drain: 10_000_000}
-	l.config.Bounds = Bounds{Depth: 64, IOQueues: 2, Memory: 256 << 20, MostMemory: 1 << 40, MostBytes: 4 << 20}
+	l.config.Bounds = Bounds{Depth: 64, IOQueues: 2, Memory: 256 << 20, MostMemory: 1 << 40, MaxRequestBytes: 4 << 20}
 	l.config.Directory.Every = 5_000_000
 }
 
@@ -167,9 +167,9 @@
 	b.Digests = f.Flag("digests", false)
 	b.Memory = f.Size("memory", b.Memory)
 	b.MostMemory = f.Size("client_memory", b.MostMemory)
-	b.MostBytes = f.Size("request", b.MostBytes)
-	if b.MostBytes < 64<<10 || b.MostBytes > 64<<20 {
-		f.Bad("request", "%d bytes is not between KiB(64) and MiB(64)", b.MostBytes)
+	b.MaxRequestBytes = f.Size("request", b.MaxRequestBytes)
+	if b.MaxRequestBytes < 64<<10 || b.MaxRequestBytes > 64<<20 {
+		f.Bad("request", "%d bytes is not between KiB(64) and MiB(64)", b.MaxRequestBytes)
 	}
 }
 
@@ -547,10 +547,10 @@
 	for i := range c.Volumes {
 		v := &c.Volumes[i]
 		if v.Memory == 0 && served > 0 {
-			v.Memory = max(c.Bounds.Memory/int64(served), 2*c.Bounds.MostBytes)
-		} else if v.Memory > 0 && v.Memory < 2*c.Bounds.MostBytes {
+			v.Memory = max(c.Bounds.Memory/int64(served), 2*c.Bounds.MaxRequestBytes)
+		} else if v.Memory > 0 && v.Memory < 2*c.Bounds.MaxRequestBytes {
 			addProblem(l.volumePos[i], fmt.Sprintf("volume(%q).memory", v.Name),
-				"holds less than two of the largest requests (%d bytes each)", c.Bounds.MostBytes)
+				"holds less than two of the largest requests (%d bytes each)", c.Bounds.MaxRequestBytes)
 		}
 	}
 	for i, cl := range c.Logic.Classes {
@@ -611,8 +611,8 @@
 	if anyMirrored && c.State.Dir == "" {
 		addProblem(pos, "copies()", "needs state(dir = …): what a copy has missed must outlast a restart")
 	}
-	if c.Copies.Region > c.Bounds.MostBytes {
-		addProblem(pos, "copies.region", "%d bytes is more than one request may have (%d)", c.Copies.Region, c.Bounds.MostBytes)
+	if c.Copies.Region > c.Bounds.MaxRequestBytes {
+		addProblem(pos, "copies.region", "%d bytes is more than one request may have (%d)", c.Copies.Region, c.Bounds.MaxRequestBytes)
 	}
 	cl := &c.Logic.Classes[c.Copies.Class]
 	if !cl.InOrder || !cl.Writes || cl.Repeat != logic.Retryable {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -155,12 +155,12 @@
 
 // Bounds are the limits on what a gateway holds.
 type Bounds struct {
-	Depth      int   // commands in flight at a node, over all its I/O queues
-	IOQueues   int   // I/O connections to a node; the admin queue is not counted
-	Digests    bool  // ask for header and data digests
-	Memory     int64 // data buffers of all volumes, in bytes
-	MostMemory int64 // maximum of memory mapped for one client, in bytes
-	MostBytes  int64 // maximum of data of one request, in bytes
+	Depth           int   // commands in flight at a node, over all its I/O queues
+	IOQueues        int   // I/O connections to a node; the admin queue is not counted
+	Digests         bool  // ask for header and data digests
+	Memory          int64 // data buffers of all volumes, in bytes
+	MostMemory      int64 // maximum of memory mapped for one client, in bytes
+	MaxRequestBytes int64 // maximum of data of one request, in bytes
 }
 
 // State configures where the gateway saves its state; without a folder it saves none.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	v := c.Volumes[0]
-	if v.Size != 8<<20 || v.Extents[1].Start != 4<<20 || v.BlockSize != 4096 || v.Memory < 2*c.Bounds.MostBytes {
+	if v.Size != 8<<20 || v.Extents[1].Start != 4<<20 || v.BlockSize != 4096 || v.Memory < 2*c.Bounds.MaxRequestBytes {
 		t.Errorf("volume: %+v", v)
 	}
 	if cl, ok := v.Class(block.Write, 1<<20); !ok || c.Classes[cl] != "write" {
