--- a/internal/front/ring/server.go
+++ b/internal/front/ring/server.go
@@ -63,7 +63,7 @@
 
 // New returns a server without sockets. Its sessions end when ctx is cancelled.
 func New(ctx context.Context, cfg *settings.Config, e *engine.Engine, log *zap.Logger) *Server {
-	return &Server{ctx: ctx, cfg: cfg, engine: e, log: log, maxMemory: cfg.Bounds.MostMemory}
+	return &Server{ctx: ctx, cfg: cfg, engine: e, log: log, maxMemory: cfg.Bounds.MaxClientMemory}
 }
 
 // Listen opens the sockets of all volumes that have one.
--- a/internal/settings/describe.go
+++ b/internal/settings/describe.go
@@ -72,7 +72,7 @@
 	fmt.Fprintf(t, "times: answers %v before the deadline, connections within %v, keep-alive %v, drained within %v\n",
 		d(c.Times.AnswerMargin), d(c.Times.Connect), d(c.Times.KeepAlive), d(c.Times.Drain))
 	fmt.Fprintf(t, "bounds: %d commands over %d queues a node, %d bytes a request, %d bytes of buffers, %d bytes of a client's memory\n",
-		c.Bounds.Depth, c.Bounds.IOQueues, c.Bounds.MaxRequestBytes, c.Bounds.Memory, c.Bounds.MostMemory)
+		c.Bounds.Depth, c.Bounds.IOQueues, c.Bounds.MaxRequestBytes, c.Bounds.Memory, c.Bounds.MaxClientMemory)
 	if x := &c.Crossing; x.Rate > 0 {
 		fmt.Fprintf(t, "crossing: %.0f bytes a second, %.0f at once", x.Rate, x.Burst)
 		if x.Period > 0 {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -98,7 +98,7 @@
 	l.config.Name = "gateway"
 	l.config.Logic.Hosts, l.config.Logic.DrawnAtNode = 1, true
 	l.config.Times = Times{AnswerMargin: 20_000, Connect: 2_000_000, KeepAlive: 10_000_000, Drain: 10_000_000}
-	l.config.Bounds = Bounds{Depth: 64, IOQueues: 2, Memory: 256 << 20, MostMemory: 1 << 40, MaxRequestBytes: 4 << 20}
+	l.config.Bounds = Bounds{Depth: 64, IOQueues: 2, Memory: 256 << 20, MaxClientMemory: 1 << 40, MaxRequestBytes: 4 << 20}
 	l.config.Directory.Every = 5_000_000
 }
 
@@ -166,7 +166,7 @@
 	b.IOQueues = int(f.Whole("io_queues", int64(b.IOQueues), 1, 16))
 	b.Digests = f.Flag("digests", false)
 	b.Memory = f.Size("memory", b.Memory)
-	b.MostMemory = f.Size("client_memory", b.MostMemory)
+	b.MaxClientMemory = f.Size("client_memory", b.MaxClientMemory)
 	b.MaxRequestBytes = f.Size("request", b.MaxRequestBytes)
 	if b.MaxRequestBytes < 64<<10 || b.MaxRequestBytes > 64<<20 {
 		f.Bad("request", "%d bytes is not between KiB(64) and MiB(64)", b.MaxRequestBytes)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -159,7 +159,7 @@
 	IOQueues        int   // I/O connections to a node; the admin queue is not counted
 	Digests         bool  // ask for header and data digests
 	Memory          int64 // data buffers of all volumes, in bytes
-	MostMemory      int64 // maximum of memory mapped for one client, in bytes
+	MaxClientMemory int64 // maximum of memory mapped for one client, in bytes
 	MaxRequestBytes int64 // maximum of data of one request, in bytes
 }
 
