--- a/internal/settings/describe.go
+++ b/internal/settings/describe.go
@@ -48,7 +48,7 @@
 		if v.Socket != "" {
 			fmt.Fprintf(t, "  socket\t%s\n", v.Socket)
 		}
-		fmt.Fprintf(t, "  memory\t%d bytes; a unit is %d bytes, a request at least %v units\n", v.Memory, v.UnitBytes, v.UnitLeast)
+		fmt.Fprintf(t, "  memory\t%d bytes; a unit is %d bytes, a request at least %v units\n", v.Memory, v.UnitBytes, v.MinUnits)
 		for _, x := range v.Extents {
 			for i, p := range x.Copies {
 				what := "extent"
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -407,7 +407,7 @@
 	}
 	v.Memory = f.Size("memory", 0)
 	v.UnitBytes = f.Size("unit", 64<<10)
-	v.UnitLeast = f.Number("unit_least", 1)
+	v.MinUnits = f.Number("unit_least", 1)
 	if v.UnitBytes == 0 {
 		f.Bad("unit", "must be above zero")
 		v.UnitBytes = 1
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -67,7 +67,7 @@
 	Extents   []Extent
 	Rows      []Row
 	UnitBytes int64   // bytes that count as one unit of work
-	UnitLeast float64 // minimum units of a request
+	MinUnits  float64 // minimum units of a request
 }
 
 // Extent is a contiguous byte range of a volume and the location of its copies. The embedded Place is the first copy,
@@ -124,7 +124,7 @@
 
 // Units returns the units of work that a request of this size counts.
 func (v *Volume) Units(bytes int64) float64 {
-	return max(v.UnitLeast, float64(bytes)/float64(v.UnitBytes))
+	return max(v.MinUnits, float64(bytes)/float64(v.UnitBytes))
 }
 
 // Node is a storage node that the settings describe. The gateway uses it once it is in the list of nodes.
