--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -125,7 +125,7 @@
 		d.Length = us(f.Duration("length", script.Must))
 		d.Rate = f.Number("rate", script.Must)
 		if d.Length > time.Hour {
-			f.Bad("length", "is over an hour")
+			f.AddProblem("length", "is over an hour")
 		}
 	})
 	event := func(kind Kind, read func(f *script.Form, e *Event)) {
@@ -133,9 +133,9 @@
 			e := Event{Kind: kind, At: us(f.Duration("at", script.Must))}
 			read(f, &e)
 			if given && e.At+e.For > d.Length {
-				f.Bad("at", "%v is past the day's length of %v, which must stand before it", e.At+e.For, d.Length)
+				f.AddProblem("at", "%v is past the day's length of %v, which must stand before it", e.At+e.For, d.Length)
 			} else if !given {
-				f.Bad("", "stands before day()")
+				f.AddProblem("", "stands before day()")
 			}
 			d.Events = append(d.Events, e)
 		})
@@ -144,12 +144,12 @@
 	nodes := func(f *script.Form, e *Event) { e.Nodes = f.Wholes("nodes", true, 0, int64(shape.Nodes)-1) }
 	times := func(f *script.Form, e *Event) {
 		if e.Times = f.Number("times", script.Must); e.Times > 1000 {
-			f.Bad("times", "%v is over 1000", e.Times)
+			f.AddProblem("times", "%v is over 1000", e.Times)
 		}
 	}
 	part := func(f *script.Form, e *Event) {
 		if e.Part = f.Number("part", script.Must); e.Part > 1 {
-			f.Bad("part", "%v is over 1", e.Part)
+			f.AddProblem("part", "%v is over 1", e.Part)
 		}
 	}
 	gateway := func(f *script.Form, e *Event) {
@@ -165,7 +165,7 @@
 	event(Burst, all(lasting, times))
 	event(Surge, all(lasting, times, func(f *script.Form, e *Event) {
 		if e.Plan = f.Text("plan", "", true); !slices.Contains(shape.Plans, e.Plan) && e.Plan != "" {
-			f.Bad("plan", "%q is none of %v", e.Plan, shape.Plans)
+			f.AddProblem("plan", "%q is none of %v", e.Plan, shape.Plans)
 		}
 	}))
 	event(Slow, all(lasting, nodes, times))
@@ -181,13 +181,13 @@
 	event(StaleList, all(lasting, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Must)) }))
 	event(Flap, all(lasting, nodes, func(f *script.Form, e *Event) {
 		if e.By = us(f.Duration("every", script.Must)); e.By < 10*time.Millisecond {
-			f.Bad("every", "is under 10 ms")
+			f.AddProblem("every", "is under 10 ms")
 		}
 	}))
 	zones := func(f *script.Form, e *Event) {
 		z := f.Wholes("zones", true, 0, int64(shape.Zones)-1)
 		if len(z) != 2 || z[0] == z[1] {
-			f.Bad("zones", "want two: that of the gateways and that of the nodes")
+			f.AddProblem("zones", "want two: that of the gateways and that of the nodes")
 			return
 		}
 		e.Zones = [2]int{z[0], z[1]}
@@ -195,7 +195,7 @@
 	event(Link, all(lasting, zones, func(f *script.Form, e *Event) {
 		e.By, e.Jitter = us(f.Duration("delay", 0)), us(f.Duration("jitter", 0))
 		if e.Part = f.Number("loss", 0); e.Part > 1 {
-			f.Bad("loss", "%v is over 1", e.Part)
+			f.AddProblem("loss", "%v is over 1", e.Part)
 		}
 		e.Bytes = int(f.Size("bandwidth", 0))
 	}))
@@ -203,7 +203,7 @@
 		way := f.Word("way", 0, "both", "there", "back")
 		e.There, e.Back = way != 2, way != 1
 		if e.By = us(f.Duration("every", 0)); e.By > 0 && e.By < 10*time.Millisecond {
-			f.Bad("every", "is under 10 ms")
+			f.AddProblem("every", "is under 10 ms")
 		}
 	}))
 	event(Eager, all(lasting))
--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -52,7 +52,7 @@
 func (l *Loader) newForm(th *starlark.Thread, name string, args starlark.Tuple, kwargs []starlark.Tuple) *Form {
 	f := &Form{l: l, Pos: th.CallFrame(1).Pos, Name: name, args: map[string]starlark.Value{}}
 	if len(args) > 0 {
-		f.Bad("", "takes named arguments only")
+		f.AddProblem("", "takes named arguments only")
 	}
 	for _, kv := range kwargs {
 		f.args[string(kv[0].(starlark.String))] = kv[1]
@@ -60,8 +60,8 @@
 	return f
 }
 
-// Bad adds a problem with a field, or with the whole call if field is empty.
-func (f *Form) Bad(field, format string, a ...any) {
+// AddProblem adds a problem with a field, or with the whole call if field is empty.
+func (f *Form) AddProblem(field, format string, a ...any) {
 	at := f.Name
 	if field != "" {
 		at += "." + field
@@ -78,7 +78,7 @@
 		ok = false
 	}
 	if !ok && required {
-		f.Bad(name, "is missing")
+		f.AddProblem(name, "is missing")
 	}
 	return v, ok
 }
@@ -97,7 +97,7 @@
 	}
 	sort.Strings(unknown)
 	for _, name := range unknown {
-		f.Bad(name, "unknown field; known are %s", strings.Join(f.lookedUp, ", "))
+		f.AddProblem(name, "unknown field; known are %s", strings.Join(f.lookedUp, ", "))
 	}
 }
 
@@ -112,11 +112,11 @@
 		if unit == size {
 			example = "MiB(4)"
 		}
-		f.Bad(name, "want a %s such as %s, got %s %s", unit, example, v.Type(), v)
+		f.AddProblem(name, "want a %s such as %s, got %s %s", unit, example, v.Type(), v)
 		return max(fallback, 0)
 	}
 	if q.amount < 0 {
-		f.Bad(name, "%s is below zero", q)
+		f.AddProblem(name, "%s is below zero", q)
 	}
 	return q.amount
 }
@@ -140,11 +140,11 @@
 	}
 	n, is := starlark.AsFloat(v)
 	if _, dimension := v.(quantity); dimension || !is || v.Type() == "bool" {
-		f.Bad(name, "want a number, got %s %s", v.Type(), v)
+		f.AddProblem(name, "want a number, got %s %s", v.Type(), v)
 		return max(fallback, 0)
 	}
 	if math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		f.Bad(name, "%v is not a finite number from zero up", n)
+		f.AddProblem(name, "%v is not a finite number from zero up", n)
 		return max(fallback, 0)
 	}
 	return n
@@ -162,11 +162,11 @@
 		n, fits = i.Int64()
 	}
 	if !is || !fits {
-		f.Bad(name, "want a whole number, got %s %s", v.Type(), v)
+		f.AddProblem(name, "want a whole number, got %s %s", v.Type(), v)
 		return max(fallback, 0)
 	}
 	if n < minValue || n > maxValue {
-		f.Bad(name, "%d is not between %d and %d", n, minValue, maxValue)
+		f.AddProblem(name, "%d is not between %d and %d", n, minValue, maxValue)
 		return max(fallback, minValue)
 	}
 	return n
@@ -180,11 +180,11 @@
 	}
 	s, is := starlark.AsString(v)
 	if !is {
-		f.Bad(name, "want text, got %s %s", v.Type(), v)
+		f.AddProblem(name, "want text, got %s %s", v.Type(), v)
 		return fallback
 	}
 	if s == "" && required {
-		f.Bad(name, "is empty")
+		f.AddProblem(name, "is empty")
 	}
 	return s
 }
@@ -197,7 +197,7 @@
 	}
 	b, is := v.(starlark.Bool)
 	if !is {
-		f.Bad(name, "want True or False, got %s %s", v.Type(), v)
+		f.AddProblem(name, "want True or False, got %s %s", v.Type(), v)
 		return fallback
 	}
 	return bool(b)
@@ -214,7 +214,7 @@
 			return i
 		}
 	}
-	f.Bad(name, "%q is none of %s", s, strings.Join(words, ", "))
+	f.AddProblem(name, "%q is none of %s", s, strings.Join(words, ", "))
 	return max(fallback, 0)
 }
 
@@ -225,13 +225,13 @@
 			args: map[string]starlark.Value{}}
 		d, is := v.(*starlark.Dict)
 		if !is {
-			element.Bad("", "want a dict, got %s", v.Type())
+			element.AddProblem("", "want a dict, got %s", v.Type())
 			continue
 		}
 		for _, kv := range d.Items() {
 			key, is := starlark.AsString(kv[0])
 			if !is {
-				element.Bad("", "key %s is no text", kv[0])
+				element.AddProblem("", "key %s is no text", kv[0])
 				continue
 			}
 			element.args[key] = kv[1]
@@ -246,7 +246,7 @@
 	for _, v := range f.list(name, required) {
 		n, err := starlark.AsInt32(v)
 		if err != nil || int64(n) < minValue || int64(n) > maxValue {
-			f.Bad(name, "%s is no whole number between %d and %d", v, minValue, maxValue)
+			f.AddProblem(name, "%s is no whole number between %d and %d", v, minValue, maxValue)
 			continue
 		}
 		out = append(out, n)
@@ -259,7 +259,7 @@
 	for _, v := range f.list(name, false) {
 		s, is := starlark.AsString(v)
 		if !is {
-			f.Bad(name, "%s is no text", v)
+			f.AddProblem(name, "%s is no text", v)
 			continue
 		}
 		out = append(out, s)
@@ -275,7 +275,7 @@
 	}
 	list, is := v.(*starlark.List)
 	if !is {
-		f.Bad(name, "want a list, got %s", v.Type())
+		f.AddProblem(name, "want a list, got %s", v.Type())
 		return nil
 	}
 	for i := range list.Len() {
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -53,7 +53,7 @@
 func (l *Loader) Single(name string, read func(*Form)) {
 	l.Many(name, func(f *Form) {
 		if before, ok := l.firstCall[name]; ok {
-			f.Bad("", "stands at %s already", before)
+			f.AddProblem("", "stands at %s already", before)
 		}
 		l.firstCall[name] = f.Pos
 		read(f)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -116,7 +116,7 @@
 	s.UnitTop = f.Number("unit_top", 0)
 	s.TellsElsewhere = f.Flag("tells_elsewhere", false)
 	if s.Number >= s.Hosts {
-		f.Bad("number", "%d is not below hosts, which is %d", s.Number, s.Hosts)
+		f.AddProblem("number", "%d is not below hosts, which is %d", s.Number, s.Hosts)
 	}
 }
 
@@ -156,7 +156,7 @@
 	t.KeepAlive = logic.Micros(f.Duration("keep_alive", int64(t.KeepAlive)))
 	t.Drain = logic.Micros(f.Duration("drain", int64(t.Drain)))
 	if t.Connect <= 0 {
-		f.Bad("connect", "must be above zero")
+		f.AddProblem("connect", "must be above zero")
 	}
 }
 
@@ -169,14 +169,14 @@
 	b.MaxClientMemory = f.Size("client_memory", b.MaxClientMemory)
 	b.MaxRequestBytes = f.Size("request", b.MaxRequestBytes)
 	if b.MaxRequestBytes < 64<<10 || b.MaxRequestBytes > 64<<20 {
-		f.Bad("request", "%d bytes is not between KiB(64) and MiB(64)", b.MaxRequestBytes)
+		f.AddProblem("request", "%d bytes is not between KiB(64) and MiB(64)", b.MaxRequestBytes)
 	}
 }
 
 func (l *loader) state(f *script.Form) {
 	l.config.State.Dir = f.Text("dir", "", true)
 	if l.config.State.Every = logic.Micros(f.Duration("every", 1_000_000)); l.config.State.Every < 10_000 {
-		f.Bad("every", "is under 10 ms")
+		f.AddProblem("every", "is under 10 ms")
 	}
 }
 
@@ -188,7 +188,7 @@
 	c.Bend, c.BendFor = f.Number("bend", 1), logic.Micros(f.Duration("bend_for", 0))
 	c.Hosts = 1
 	if err := c.Check(); err != nil {
-		f.Bad("", "%v", err)
+		f.AddProblem("", "%v", err)
 	}
 }
 
@@ -199,7 +199,7 @@
 		ref := f.Text(name, "", true)
 		i, ok := in[ref]
 		if !ok && ref != "" {
-			f.Bad(name, "no %s %q stands before this line", strings.TrimSuffix(name, "_"), ref)
+			f.AddProblem(name, "no %s %q stands before this line", strings.TrimSuffix(name, "_"), ref)
 		}
 		return i
 	}
@@ -208,7 +208,7 @@
 	c.Region = f.Size("region", 1<<20)
 	c.Together = int(f.Whole("together", 2, 1, 64))
 	if c.Region < 64<<10 || c.Region&(c.Region-1) != 0 {
-		f.Bad("region", "%d bytes is no power of two from KiB(64) up", c.Region)
+		f.AddProblem("region", "%d bytes is no power of two from KiB(64) up", c.Region)
 		c.Region = 1 << 20
 	}
 }
@@ -216,14 +216,14 @@
 func (l *loader) user(f *script.Form) {
 	u := User{Name: f.Text("name", "", true), Hash: []byte(f.Text("hash", "", true))}
 	if _, err := bcrypt.Cost(u.Hash); err != nil && len(u.Hash) > 0 {
-		f.Bad("hash", "is no bcrypt hash: %v", err)
+		f.AddProblem("hash", "is no bcrypt hash: %v", err)
 	}
 	if strings.ContainsAny(u.Name, ":\x00") {
-		f.Bad("name", "%q has a colon or a NUL in it", u.Name)
+		f.AddProblem("name", "%q has a colon or a NUL in it", u.Name)
 	}
 	for _, o := range l.config.Users {
 		if o.Name == u.Name {
-			f.Bad("name", "%q stands twice", u.Name)
+			f.AddProblem("name", "%q stands twice", u.Name)
 		}
 	}
 	l.config.Users = append(l.config.Users, u)
@@ -234,13 +234,13 @@
 	d.Clients = int(f.Whole("clients", 1024, 1, 1<<16))
 	host, _, err := net.SplitHostPort(d.Listen)
 	if err != nil && d.Listen != "" {
-		f.Bad("listen", "%v", err)
+		f.AddProblem("listen", "%v", err)
 	}
 	if (d.Cert == "") != (d.Key == "") {
-		f.Bad("cert", "cert and key go together")
+		f.AddProblem("cert", "cert and key go together")
 	}
 	if ip := net.ParseIP(host); d.Cert == "" && err == nil && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		f.Bad("listen", "%s is no loopback address, and without cert and key passwords would cross the network in the clear", d.Listen)
+		f.AddProblem("listen", "%s is no loopback address, and without cert and key passwords would cross the network in the clear", d.Listen)
 	}
 	f.Each("trees", true, func(e *script.Form) {
 		t := Tree{Path: e.Text("path", "", true), Volume: -1, Read: e.Texts("read"), Write: e.Texts("write")}
@@ -249,35 +249,35 @@
 			if v.Name == name {
 				t.Volume = i
 				if !v.Objects {
-					e.Bad("volume", "%q is a disk; a tree needs objects = True", name)
+					e.AddProblem("volume", "%q is a disk; a tree needs objects = True", name)
 				}
 				if v.Attached != 1 {
-					e.Bad("volume", "%q is shared by %v gateways, but a tree has one owner", name, v.Attached)
+					e.AddProblem("volume", "%q is shared by %v gateways, but a tree has one owner", name, v.Attached)
 				}
 			}
 		}
 		if t.Volume < 0 && name != "" {
-			e.Bad("volume", "no volume %q stands before this line", name)
+			e.AddProblem("volume", "no volume %q stands before this line", name)
 		}
 		if !strings.HasPrefix(t.Path, "/") || len(t.Path) > 1 && strings.HasSuffix(t.Path, "/") || strings.Contains(t.Path, "//") {
-			e.Bad("path", "%q does not begin with a slash, or ends with one", t.Path)
+			e.AddProblem("path", "%q does not begin with a slash, or ends with one", t.Path)
 		}
 		for _, names := range [][]string{t.Read, t.Write} {
 			for _, n := range names {
 				if !slices.ContainsFunc(l.config.Users, func(u User) bool { return u.Name == n }) {
-					e.Bad("", "no user %q stands before this line", n)
+					e.AddProblem("", "no user %q stands before this line", n)
 				}
 			}
 		}
 		for _, o := range d.Trees {
 			if o.Path == t.Path {
-				e.Bad("path", "%q stands twice", t.Path)
+				e.AddProblem("path", "%q stands twice", t.Path)
 			}
 		}
 		for _, o := range l.config.Dav {
 			for _, x := range o.Trees {
 				if x.Volume == t.Volume {
-					e.Bad("volume", "%q is a tree of %s already", name, o.Listen)
+					e.AddProblem("volume", "%q is a tree of %s already", name, o.Listen)
 				}
 			}
 		}
@@ -289,7 +289,7 @@
 func (l *loader) class(f *script.Form) {
 	name := f.Text("name", "", true)
 	if _, exists := l.classes[name]; exists {
-		f.Bad("name", "%q stands twice", name)
+		f.AddProblem("name", "%q stands twice", name)
 	}
 	if name != "" {
 		f.Name = fmt.Sprintf("class_(%q)", name)
@@ -306,16 +306,16 @@
 		Writes:       f.Flag("writes", false),
 	}
 	if c.Aim > c.Deadline {
-		f.Bad("aim", "is later than the deadline")
+		f.AddProblem("aim", "is later than the deadline")
 	}
 	if c.Aim <= 0 {
-		f.Bad("aim", "must be above zero")
+		f.AddProblem("aim", "must be above zero")
 	}
 	if c.LateShare > 1 {
-		f.Bad("late_share", "%v is over 1", c.LateShare)
+		f.AddProblem("late_share", "%v is over 1", c.LateShare)
 	}
 	if c.Repeat == logic.Dedup && c.RepeatWindow == 0 {
-		f.Bad("remembers", "a keyed class needs the time for which nodes drop repeats")
+		f.AddProblem("remembers", "a keyed class needs the time for which nodes drop repeats")
 	}
 	l.config.Crossing.Classes = append(l.config.Crossing.Classes, crossing.Class{Worth: c.Worth, Bends: f.Flag("bends", false)})
 	l.classes[name] = len(l.config.Classes)
@@ -326,7 +326,7 @@
 func (l *loader) plan(f *script.Form) {
 	name := f.Text("name", "", true)
 	if _, exists := l.plans[name]; exists {
-		f.Bad("name", "%q stands twice", name)
+		f.AddProblem("name", "%q stands twice", name)
 	}
 	if name != "" {
 		f.Name = fmt.Sprintf("plan(%q)", name)
@@ -337,7 +337,7 @@
 		LimitSlack: f.Number("limit_slack", 0),
 	}
 	if p.Limit > 0 && p.LimitBurst+p.LimitSlack <= 0 {
-		f.Bad("limit_burst", "a limit needs a burst or a slack, or nothing could ever be sent")
+		f.AddProblem("limit_burst", "a limit needs a burst or a slack, or nothing could ever be sent")
 	}
 	l.plans[name] = len(l.config.Plans)
 	l.config.Plans = append(l.config.Plans, name)
@@ -353,14 +353,14 @@
 	}
 	f.Name = fmt.Sprintf("node(%d)", n.ID)
 	if len(n.NQN) > 223 {
-		f.Bad("nqn", "longer than 223 bytes")
+		f.AddProblem("nqn", "longer than 223 bytes")
 	}
 	for _, o := range l.config.Nodes {
 		if o.ID == n.ID {
-			f.Bad("id", "%d stands twice", n.ID)
+			f.AddProblem("id", "%d stands twice", n.ID)
 		}
 		if o.NQN == n.NQN && n.NQN != "" {
-			f.Bad("nqn", "%q is node %d's already", n.NQN, o.ID)
+			f.AddProblem("nqn", "%q is node %d's already", n.NQN, o.ID)
 		}
 	}
 	l.config.Nodes, l.nodePos = append(l.config.Nodes, n), append(l.nodePos, f.Pos)
@@ -375,7 +375,7 @@
 	if i, ok := l.plans[plan]; ok {
 		v.Plan = i
 	} else if plan != "" {
-		f.Bad("plan", "no plan %q stands before this line", plan)
+		f.AddProblem("plan", "no plan %q stands before this line", plan)
 	}
 	v.Attached = f.Number("gateways", 1)
 	v.Account = v.ID
@@ -383,9 +383,9 @@
 		i := slices.IndexFunc(l.config.Volumes, func(o Volume) bool { return o.Name == name })
 		switch {
 		case i < 0:
-			f.Bad("account", "no volume %q stands before this line", name)
+			f.AddProblem("account", "no volume %q stands before this line", name)
 		case l.config.Volumes[i].Plan != v.Plan || l.config.Volumes[i].Attached != v.Attached:
-			f.Bad("account", "volume %q is on another plan, or comes through another number of gateways", name)
+			f.AddProblem("account", "volume %q is on another plan, or comes through another number of gateways", name)
 		default:
 			v.Account = l.config.Volumes[i].Account
 		}
@@ -393,23 +393,23 @@
 	v.Socket = f.Text("socket", "", false)
 	v.BlockSize = uint32(f.Size("block", block.Sector))
 	if v.BlockSize < block.Sector || v.BlockSize > 64<<10 || v.BlockSize&(v.BlockSize-1) != 0 {
-		f.Bad("block", "%d bytes is no power of two from 512 to 65536", v.BlockSize)
+		f.AddProblem("block", "%d bytes is no power of two from 512 to 65536", v.BlockSize)
 		v.BlockSize = block.Sector
 	}
 	v.Queues = int(f.Whole("queues", 4, 1, 64))
 	v.ReadOnly = f.Flag("read_only", false)
 	if v.Objects = f.Flag("objects", false); v.Objects && v.Socket != "" {
-		f.Bad("socket", "a volume of objects is no disk")
+		f.AddProblem("socket", "a volume of objects is no disk")
 	}
 	v.Serial = f.Text("serial", v.Name, false)
 	if len(v.Serial) > 20 {
-		f.Bad("serial", "longer than 20 bytes")
+		f.AddProblem("serial", "longer than 20 bytes")
 	}
 	v.Memory = f.Size("memory", 0)
 	v.UnitBytes = f.Size("unit", 64<<10)
 	v.MinUnits = f.Number("unit_least", 1)
 	if v.UnitBytes == 0 {
-		f.Bad("unit", "must be above zero")
+		f.AddProblem("unit", "must be above zero")
 		v.UnitBytes = 1
 	}
 	f.Each("extents", true, func(e *script.Form) {
@@ -418,11 +418,11 @@
 			p := Place{Cell: int(e.Whole("cell", script.Must, 0, 1<<24)), Namespace: uint32(e.Whole("namespace", script.Must, 1, math.MaxUint32-2)),
 				Base: e.Size("base", 0)}
 			if bs := int64(v.BlockSize); x.Start%bs != 0 || x.Len%bs != 0 || p.Base%bs != 0 {
-				e.Bad("", "does not begin and end on a block of %d bytes", bs)
+				e.AddProblem("", "does not begin and end on a block of %d bytes", bs)
 			}
 			for _, o := range x.Copies {
 				if o.Cell == p.Cell {
-					e.Bad("cell", "%d holds a copy already", p.Cell)
+					e.AddProblem("cell", "%d holds a copy already", p.Cell)
 				}
 			}
 			x.Copies = append(x.Copies, p)
@@ -431,14 +431,14 @@
 		e.Each("mirrors", false, place)
 		x.Place = x.Copies[0]
 		if x.Len == 0 {
-			e.Bad("size", "is zero")
+			e.AddProblem("size", "is zero")
 		}
 		if len(x.Copies) > copies.MaxCopies {
-			e.Bad("mirrors", "%d copies, at most %d can be", len(x.Copies), copies.MaxCopies)
+			e.AddProblem("mirrors", "%d copies, at most %d can be", len(x.Copies), copies.MaxCopies)
 		}
 		for i, o := range v.Extents {
 			if x.Start < o.Start+o.Len && o.Start < x.Start+x.Len {
-				e.Bad("", "overlaps extents[%d]", i)
+				e.AddProblem("", "overlaps extents[%d]", i)
 			}
 		}
 		v.Extents = append(v.Extents, x)
@@ -447,24 +447,24 @@
 	f.Each("table", true, func(r *script.Form) {
 		k, ok := block.ParseKind(r.Text("kind", "", true))
 		if !ok {
-			r.Bad("kind", "is none of read, write, flush, discard, write_zeroes")
+			r.AddProblem("kind", "is none of read, write, flush, discard, write_zeroes")
 		}
 		row := Row{Kind: k, UpTo: r.Size("up_to", 0)}
 		class := r.Text("class_", "", true)
 		if row.Class, ok = l.classes[class]; !ok && class != "" {
-			r.Bad("class_", "no class %q stands before this line", class)
+			r.AddProblem("class_", "no class %q stands before this line", class)
 		}
 		v.Rows = append(v.Rows, row)
 	})
 	for _, o := range l.config.Volumes {
 		if o.ID == v.ID {
-			f.Bad("id", "%d is volume %q's already", v.ID, o.Name)
+			f.AddProblem("id", "%d is volume %q's already", v.ID, o.Name)
 		}
 		if o.Name == v.Name {
-			f.Bad("name", "%q stands twice", v.Name)
+			f.AddProblem("name", "%q stands twice", v.Name)
 		}
 		if o.Socket == v.Socket && v.Socket != "" {
-			f.Bad("socket", "%q is volume %q's already", v.Socket, o.Name)
+			f.AddProblem("socket", "%q is volume %q's already", v.Socket, o.Name)
 		}
 	}
 	l.config.Volumes, l.volumePos = append(l.config.Volumes, v), append(l.volumePos, f.Pos)
