--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -122,15 +122,15 @@
 	l.Single("day", func(f *script.Form) {
 		given = true
 		d.Name = f.Text("name", "", true)
-		d.Length = us(f.Duration("length", script.Must))
-		d.Rate = f.Number("rate", script.Must)
+		d.Length = us(f.Duration("length", script.Required))
+		d.Rate = f.Number("rate", script.Required)
 		if d.Length > time.Hour {
 			f.AddProblem("length", "is over an hour")
 		}
 	})
 	event := func(kind Kind, read func(f *script.Form, e *Event)) {
 		l.Many(string(kind), func(f *script.Form) {
-			e := Event{Kind: kind, At: us(f.Duration("at", script.Must))}
+			e := Event{Kind: kind, At: us(f.Duration("at", script.Required))}
 			read(f, &e)
 			if given && e.At+e.For > d.Length {
 				f.AddProblem("at", "%v is past the day's length of %v, which must stand before it", e.At+e.For, d.Length)
@@ -140,20 +140,20 @@
 			d.Events = append(d.Events, e)
 		})
 	}
-	lasting := func(f *script.Form, e *Event) { e.For = us(f.Duration("lasting", script.Must)) }
+	lasting := func(f *script.Form, e *Event) { e.For = us(f.Duration("lasting", script.Required)) }
 	nodes := func(f *script.Form, e *Event) { e.Nodes = f.Wholes("nodes", true, 0, int64(shape.Nodes)-1) }
 	times := func(f *script.Form, e *Event) {
-		if e.Times = f.Number("times", script.Must); e.Times > 1000 {
+		if e.Times = f.Number("times", script.Required); e.Times > 1000 {
 			f.AddProblem("times", "%v is over 1000", e.Times)
 		}
 	}
 	part := func(f *script.Form, e *Event) {
-		if e.Part = f.Number("part", script.Must); e.Part > 1 {
+		if e.Part = f.Number("part", script.Required); e.Part > 1 {
 			f.AddProblem("part", "%v is over 1", e.Part)
 		}
 	}
 	gateway := func(f *script.Form, e *Event) {
-		e.Gateway = int(f.Whole("gateway", script.Must, 0, int64(shape.Gateways)-1))
+		e.Gateway = int(f.Whole("gateway", script.Required, 0, int64(shape.Gateways)-1))
 	}
 	all := func(parts ...func(*script.Form, *Event)) func(*script.Form, *Event) {
 		return func(f *script.Form, e *Event) {
@@ -176,11 +176,11 @@
 		event(k, all(lasting, nodes))
 	}
 	event(Reset, all(nodes))
-	event(LateReports, all(lasting, nodes, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Must)) }))
-	event(Drip, all(lasting, nodes, func(f *script.Form, e *Event) { e.Bytes = int(f.Whole("bytes", script.Must, 1, 1<<30)) }))
-	event(StaleList, all(lasting, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Must)) }))
+	event(LateReports, all(lasting, nodes, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Required)) }))
+	event(Drip, all(lasting, nodes, func(f *script.Form, e *Event) { e.Bytes = int(f.Whole("bytes", script.Required, 1, 1<<30)) }))
+	event(StaleList, all(lasting, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Required)) }))
 	event(Flap, all(lasting, nodes, func(f *script.Form, e *Event) {
-		if e.By = us(f.Duration("every", script.Must)); e.By < 10*time.Millisecond {
+		if e.By = us(f.Duration("every", script.Required)); e.By < 10*time.Millisecond {
 			f.AddProblem("every", "is under 10 ms")
 		}
 	}))
@@ -207,7 +207,7 @@
 		}
 	}))
 	event(Eager, all(lasting))
-	event(Vanish, func(f *script.Form, e *Event) { e.Clients = int(f.Whole("clients", script.Must, 1, 1000)) })
+	event(Vanish, func(f *script.Form, e *Event) { e.Clients = int(f.Whole("clients", script.Required, 1, 1000)) })
 	event(RepeatList, all())
 	event(Stop, all(lasting, gateway))
 	event(Kill, all(lasting, gateway))
--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -121,8 +121,8 @@
 	return q.amount
 }
 
-// Must, passed as the fallback of a numeric field or of a Word, makes the field required.
-const Must = -1
+// Required, passed as the fallback of a numeric field or of a Word, makes the field required.
+const Required = -1
 
 // Duration reads a duration in microseconds.
 func (f *Form) Duration(name string, fallback int64) int64 {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -182,7 +182,7 @@
 
 func (l *loader) crossing(f *script.Form) {
 	c := &l.config.Crossing
-	c.Rate, c.Burst = float64(f.Size("rate", script.Must)), float64(f.Size("burst", script.Must))
+	c.Rate, c.Burst = float64(f.Size("rate", script.Required)), float64(f.Size("burst", script.Required))
 	c.Period, c.PerTime = logic.Micros(f.Duration("period", 0)), float64(f.Size("per_period", 0))
 	c.HoldBack, c.Lost = f.Number("hold_back", 0.3), f.Number("lost", 0.5)
 	c.Bend, c.BendFor = f.Number("bend", 1), logic.Micros(f.Duration("bend_for", 0))
@@ -295,8 +295,8 @@
 		f.Name = fmt.Sprintf("class_(%q)", name)
 	}
 	c := logic.Class{
-		Aim:          logic.Micros(f.Duration("aim", script.Must)),
-		Deadline:     logic.Micros(f.Duration("deadline", script.Must)),
+		Aim:          logic.Micros(f.Duration("aim", script.Required)),
+		Deadline:     logic.Micros(f.Duration("deadline", script.Required)),
 		Worth:        f.Number("worth", 1),
 		LateShare:    f.Number("late_share", 0),
 		Repeat:       logic.Repeat(f.Word("repeat", 0, "safe", "keyed", "unsafe")),
@@ -346,8 +346,8 @@
 
 func (l *loader) node(f *script.Form) {
 	n := Node{
-		ID:   logic.NodeID(f.Whole("id", script.Must, 1, math.MaxUint32)),
-		Zone: readZone(f), Cell: int(f.Whole("cell", script.Must, 0, 1<<24)),
+		ID:   logic.NodeID(f.Whole("id", script.Required, 1, math.MaxUint32)),
+		Zone: readZone(f), Cell: int(f.Whole("cell", script.Required, 0, 1<<24)),
 		Address: f.Text("address", "", false), NQN: f.Text("nqn", "", true), Rating: f.Number("rating", 1),
 		Bytes: f.Size("capacity", 0),
 	}
@@ -367,7 +367,7 @@
 }
 
 func (l *loader) volume(f *script.Form) {
-	v := Volume{ID: uint64(f.Whole("id", script.Must, 0, math.MaxInt64)), Name: f.Text("name", "", true)}
+	v := Volume{ID: uint64(f.Whole("id", script.Required, 0, math.MaxInt64)), Name: f.Text("name", "", true)}
 	if v.Name != "" {
 		f.Name = fmt.Sprintf("volume(%q)", v.Name)
 	}
@@ -413,9 +413,9 @@
 		v.UnitBytes = 1
 	}
 	f.Each("extents", true, func(e *script.Form) {
-		x := Extent{Start: e.Size("start", v.Size), Len: e.Size("size", script.Must)}
+		x := Extent{Start: e.Size("start", v.Size), Len: e.Size("size", script.Required)}
 		place := func(e *script.Form) {
-			p := Place{Cell: int(e.Whole("cell", script.Must, 0, 1<<24)), Namespace: uint32(e.Whole("namespace", script.Must, 1, math.MaxUint32-2)),
+			p := Place{Cell: int(e.Whole("cell", script.Required, 0, 1<<24)), Namespace: uint32(e.Whole("namespace", script.Required, 1, math.MaxUint32-2)),
 				Base: e.Size("base", 0)}
 			if bs := int64(v.BlockSize); x.Start%bs != 0 || x.Len%bs != 0 || p.Base%bs != 0 {
 				e.AddProblem("", "does not begin and end on a block of %d bytes", bs)
