--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -153,7 +153,7 @@
 		}
 	}
 	gateway := func(f *script.Form, e *Event) {
-		e.Gateway = int(f.Whole("gateway", script.Required, 0, int64(shape.Gateways)-1))
+		e.Gateway = int(f.Int("gateway", script.Required, 0, int64(shape.Gateways)-1))
 	}
 	all := func(parts ...func(*script.Form, *Event)) func(*script.Form, *Event) {
 		return func(f *script.Form, e *Event) {
@@ -177,7 +177,7 @@
 	}
 	event(Reset, all(nodes))
 	event(LateReports, all(lasting, nodes, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Required)) }))
-	event(Drip, all(lasting, nodes, func(f *script.Form, e *Event) { e.Bytes = int(f.Whole("bytes", script.Required, 1, 1<<30)) }))
+	event(Drip, all(lasting, nodes, func(f *script.Form, e *Event) { e.Bytes = int(f.Int("bytes", script.Required, 1, 1<<30)) }))
 	event(StaleList, all(lasting, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Required)) }))
 	event(Flap, all(lasting, nodes, func(f *script.Form, e *Event) {
 		if e.By = us(f.Duration("every", script.Required)); e.By < 10*time.Millisecond {
@@ -207,7 +207,7 @@
 		}
 	}))
 	event(Eager, all(lasting))
-	event(Vanish, func(f *script.Form, e *Event) { e.Clients = int(f.Whole("clients", script.Required, 1, 1000)) })
+	event(Vanish, func(f *script.Form, e *Event) { e.Clients = int(f.Int("clients", script.Required, 1, 1000)) })
 	event(RepeatList, all())
 	event(Stop, all(lasting, gateway))
 	event(Kill, all(lasting, gateway))
--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -150,8 +150,8 @@
 	return n
 }
 
-// Whole reads an integer from minValue to maxValue.
-func (f *Form) Whole(name string, fallback, minValue, maxValue int64) int64 {
+// Int reads an integer from minValue to maxValue.
+func (f *Form) Int(name string, fallback, minValue, maxValue int64) int64 {
 	v, ok := f.Take(name, fallback < 0)
 	if !ok {
 		return max(fallback, 0)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -105,10 +105,10 @@
 func (l *loader) gateway(f *script.Form) {
 	s := &l.config.Logic
 	l.config.Name = f.Text("name", "gateway", true)
-	s.Hosts = int(f.Whole("hosts", 1, 1, 1<<20))
-	s.Number = int(f.Whole("number", 0, 0, 1<<20))
+	s.Hosts = int(f.Int("hosts", 1, 1, 1<<20))
+	s.Number = int(f.Int("number", 0, 0, 1<<20))
 	s.Zone = readZone(f)
-	s.MaxAttempts = int(f.Whole("max_attempts", 4, 0, 1<<10))
+	s.MaxAttempts = int(f.Int("max_attempts", 4, 0, 1<<10))
 	s.SecondCopies = f.Flag("second_copies", true)
 	s.CoolDowns = f.Flag("cool_downs", true)
 	s.MaxCoolDown = logic.Micros(f.Duration("max_cool_down", 5_000_000))
@@ -125,7 +125,7 @@
 	if _, ok := f.Take("zone", false); !ok {
 		return -1
 	}
-	return int(f.Whole("zone", 0, 0, 1<<20))
+	return int(f.Int("zone", 0, 0, 1<<20))
 }
 
 func (l *loader) rules(f *script.Form) {
@@ -162,8 +162,8 @@
 
 func (l *loader) bounds(f *script.Form) {
 	b := &l.config.Bounds
-	b.Depth = int(f.Whole("depth", int64(b.Depth), 2, 1024))
-	b.IOQueues = int(f.Whole("io_queues", int64(b.IOQueues), 1, 16))
+	b.Depth = int(f.Int("depth", int64(b.Depth), 2, 1024))
+	b.IOQueues = int(f.Int("io_queues", int64(b.IOQueues), 1, 16))
 	b.Digests = f.Flag("digests", false)
 	b.Memory = f.Size("memory", b.Memory)
 	b.MaxClientMemory = f.Size("client_memory", b.MaxClientMemory)
@@ -204,9 +204,9 @@
 		return i
 	}
 	c.Class, c.Plan = find("class_", l.classes), find("plan", l.plans)
-	c.Hold = int(f.Whole("hold", 1, 1, copies.MaxCopies))
+	c.Hold = int(f.Int("hold", 1, 1, copies.MaxCopies))
 	c.Region = f.Size("region", 1<<20)
-	c.Together = int(f.Whole("together", 2, 1, 64))
+	c.Together = int(f.Int("together", 2, 1, 64))
 	if c.Region < 64<<10 || c.Region&(c.Region-1) != 0 {
 		f.AddProblem("region", "%d bytes is no power of two from KiB(64) up", c.Region)
 		c.Region = 1 << 20
@@ -231,7 +231,7 @@
 
 func (l *loader) dav(f *script.Form) {
 	d := Dav{Listen: f.Text("listen", "", true), Cert: f.Text("cert", "", false), Key: f.Text("key", "", false)}
-	d.Clients = int(f.Whole("clients", 1024, 1, 1<<16))
+	d.Clients = int(f.Int("clients", 1024, 1, 1<<16))
 	host, _, err := net.SplitHostPort(d.Listen)
 	if err != nil && d.Listen != "" {
 		f.AddProblem("listen", "%v", err)
@@ -346,8 +346,8 @@
 
 func (l *loader) node(f *script.Form) {
 	n := Node{
-		ID:   logic.NodeID(f.Whole("id", script.Required, 1, math.MaxUint32)),
-		Zone: readZone(f), Cell: int(f.Whole("cell", script.Required, 0, 1<<24)),
+		ID:   logic.NodeID(f.Int("id", script.Required, 1, math.MaxUint32)),
+		Zone: readZone(f), Cell: int(f.Int("cell", script.Required, 0, 1<<24)),
 		Address: f.Text("address", "", false), NQN: f.Text("nqn", "", true), Rating: f.Number("rating", 1),
 		Bytes: f.Size("capacity", 0),
 	}
@@ -367,7 +367,7 @@
 }
 
 func (l *loader) volume(f *script.Form) {
-	v := Volume{ID: uint64(f.Whole("id", script.Required, 0, math.MaxInt64)), Name: f.Text("name", "", true)}
+	v := Volume{ID: uint64(f.Int("id", script.Required, 0, math.MaxInt64)), Name: f.Text("name", "", true)}
 	if v.Name != "" {
 		f.Name = fmt.Sprintf("volume(%q)", v.Name)
 	}
@@ -396,7 +396,7 @@
 		f.AddProblem("block", "%d bytes is no power of two from 512 to 65536", v.BlockSize)
 		v.BlockSize = block.Sector
 	}
-	v.Queues = int(f.Whole("queues", 4, 1, 64))
+	v.Queues = int(f.Int("queues", 4, 1, 64))
 	v.ReadOnly = f.Flag("read_only", false)
 	if v.Objects = f.Flag("objects", false); v.Objects && v.Socket != "" {
 		f.AddProblem("socket", "a volume of objects is no disk")
@@ -415,7 +415,7 @@
 	f.Each("extents", true, func(e *script.Form) {
 		x := Extent{Start: e.Size("start", v.Size), Len: e.Size("size", script.Required)}
 		place := func(e *script.Form) {
-			p := Place{Cell: int(e.Whole("cell", script.Required, 0, 1<<24)), Namespace: uint32(e.Whole("namespace", script.Required, 1, math.MaxUint32-2)),
+			p := Place{Cell: int(e.Int("cell", script.Required, 0, 1<<24)), Namespace: uint32(e.Int("namespace", script.Required, 1, math.MaxUint32-2)),
 				Base: e.Size("base", 0)}
 			if bs := int64(v.BlockSize); x.Start%bs != 0 || x.Len%bs != 0 || p.Base%bs != 0 {
 				e.AddProblem("", "does not begin and end on a block of %d bytes", bs)
