--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -141,7 +141,7 @@
 		})
 	}
 	lasting := func(f *script.Form, e *Event) { e.For = us(f.Duration("lasting", script.Required)) }
-	nodes := func(f *script.Form, e *Event) { e.Nodes = f.Wholes("nodes", true, 0, int64(shape.Nodes)-1) }
+	nodes := func(f *script.Form, e *Event) { e.Nodes = f.Ints("nodes", true, 0, int64(shape.Nodes)-1) }
 	times := func(f *script.Form, e *Event) {
 		if e.Times = f.Number("times", script.Required); e.Times > 1000 {
 			f.AddProblem("times", "%v is over 1000", e.Times)
@@ -185,7 +185,7 @@
 		}
 	}))
 	zones := func(f *script.Form, e *Event) {
-		z := f.Wholes("zones", true, 0, int64(shape.Zones)-1)
+		z := f.Ints("zones", true, 0, int64(shape.Zones)-1)
 		if len(z) != 2 || z[0] == z[1] {
 			f.AddProblem("zones", "want two: that of the gateways and that of the nodes")
 			return
--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// Wholes reads a list of integers from minValue to maxValue. Elements that are not valid are left out.
-func (f *Form) Wholes(name string, required bool, minValue, maxValue int64) (out []int) {
+// Ints reads a list of integers from minValue to maxValue. Elements that are not valid are left out.
+func (f *Form) Ints(name string, required bool, minValue, maxValue int64) (out []int) {
 	for _, v := range f.list(name, required) {
 		n, err := starlark.AsInt32(v)
 		if err != nil || int64(n) < minValue || int64(n) > maxValue {
