--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -200,7 +200,7 @@
 		e.Bytes = int(f.Size("bandwidth", 0))
 	}))
 	event(Cut, all(lasting, zones, func(f *script.Form, e *Event) {
-		way := f.Word("way", 0, "both", "there", "back")
+		way := f.Enum("way", 0, "both", "there", "back")
 		e.There, e.Back = way != 2, way != 1
 		if e.By = us(f.Duration("every", 0)); e.By > 0 && e.By < 10*time.Millisecond {
 			f.AddProblem("every", "is under 10 ms")
--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -203,8 +203,8 @@
 	return bool(b)
 }
 
-// Word reads a string that must be one of words, and returns its index among them.
-func (f *Form) Word(name string, fallback int, words ...string) int {
+// Enum reads a string that must be one of words, and returns its index among them.
+func (f *Form) Enum(name string, fallback int, words ...string) int {
 	s := f.Text(name, "", fallback < 0)
 	if s == "" {
 		return max(fallback, 0)
