--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -69,9 +69,9 @@
 	f.l.Problems = append(f.l.Problems, Problem{f.Pos, at, fmt.Sprintf(format, a...)})
 }
 
-// Take returns the value of a field and whether it is given; None counts as not given. It adds a problem if a required
+// Lookup returns the value of a field and whether it is given; None counts as not given. It adds a problem if a required
 // field is missing.
-func (f *Form) Take(name string, required bool) (starlark.Value, bool) {
+func (f *Form) Lookup(name string, required bool) (starlark.Value, bool) {
 	f.lookedUp = append(f.lookedUp, name)
 	v, ok := f.args[name]
 	if ok && v == starlark.None {
@@ -102,7 +102,7 @@
 }
 
 func (f *Form) quantity(name, unit string, fallback int64) int64 {
-	v, ok := f.Take(name, fallback < 0)
+	v, ok := f.Lookup(name, fallback < 0)
 	if !ok {
 		return max(fallback, 0)
 	}
@@ -134,7 +134,7 @@
 
 // Number reads a finite number that is zero or greater.
 func (f *Form) Number(name string, fallback float64) float64 {
-	v, ok := f.Take(name, fallback < 0)
+	v, ok := f.Lookup(name, fallback < 0)
 	if !ok {
 		return max(fallback, 0)
 	}
@@ -152,7 +152,7 @@
 
 // Int reads an integer from minValue to maxValue.
 func (f *Form) Int(name string, fallback, minValue, maxValue int64) int64 {
-	v, ok := f.Take(name, fallback < 0)
+	v, ok := f.Lookup(name, fallback < 0)
 	if !ok {
 		return max(fallback, 0)
 	}
@@ -174,7 +174,7 @@
 
 // Text reads a string. If it is required, it must not be empty.
 func (f *Form) Text(name, fallback string, required bool) string {
-	v, ok := f.Take(name, required)
+	v, ok := f.Lookup(name, required)
 	if !ok {
 		return fallback
 	}
@@ -191,7 +191,7 @@
 
 // Flag reads True or False.
 func (f *Form) Flag(name string, fallback bool) bool {
-	v, ok := f.Take(name, false)
+	v, ok := f.Lookup(name, false)
 	if !ok {
 		return fallback
 	}
@@ -269,7 +269,7 @@
 
 // list returns the elements of a list, or none if the field is not given.
 func (f *Form) list(name string, required bool) (out []starlark.Value) {
-	v, ok := f.Take(name, required)
+	v, ok := f.Lookup(name, required)
 	if !ok {
 		return nil
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -122,7 +122,7 @@
 
 // readZone returns the number of a zone, or -1 if none is given, since zero is a valid zone.
 func readZone(f *script.Form) int {
-	if _, ok := f.Take("zone", false); !ok {
+	if _, ok := f.Lookup("zone", false); !ok {
 		return -1
 	}
 	return int(f.Int("zone", 0, 0, 1<<20))
