--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -129,7 +129,7 @@
 		}
 	})
 	event := func(kind Kind, read func(f *script.Form, e *Event)) {
-		l.Many(string(kind), func(f *script.Form) {
+		l.Define(string(kind), func(f *script.Form) {
 			e := Event{Kind: kind, At: us(f.Duration("at", script.Required))}
 			read(f, &e)
 			if given && e.At+e.For > d.Length {
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -38,8 +38,8 @@
 	return &Loader{files: files, predeclared: Units(), loaded: map[string]starlark.StringDict{}, firstCall: map[string]syntax.Position{}}
 }
 
-// Many defines a function that a script may call any number of times. Each call is passed to read as a form.
-func (l *Loader) Many(name string, read func(*Form)) {
+// Define defines a function that a script may call any number of times. Each call is passed to read as a form.
+func (l *Loader) Define(name string, read func(*Form)) {
 	l.predeclared[name] = starlark.NewBuiltin(name, func(th *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 		kwargs []starlark.Tuple) (starlark.Value, error) {
 		f := l.newForm(th, name, args, kwargs)
@@ -51,7 +51,7 @@
 
 // Single defines a function that a script may call at most once.
 func (l *Loader) Single(name string, read func(*Form)) {
-	l.Many(name, func(f *Form) {
+	l.Define(name, func(f *Form) {
 		if before, ok := l.firstCall[name]; ok {
 			f.AddProblem("", "stands at %s already", before)
 		}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -78,12 +78,12 @@
 	l.Single("state", l.state)
 	l.Single("crossing", l.crossing)
 	l.Single("copies", l.copies)
-	l.Many("user", l.user)
-	l.Many("dav", l.dav)
-	l.Many("class_", l.class)
-	l.Many("plan", l.plan)
-	l.Many("node", l.node)
-	l.Many("volume", l.volume)
+	l.Define("user", l.user)
+	l.Define("dav", l.dav)
+	l.Define("class_", l.class)
+	l.Define("plan", l.plan)
+	l.Define("node", l.node)
+	l.Define("volume", l.volume)
 	if err := l.Run(name); err != nil {
 		return nil, err
 	}
