--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -119,7 +119,7 @@
 	d := &Day{}
 	given := false
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
-	l.Single("day", func(f *script.Form) {
+	l.DefineOnce("day", func(f *script.Form) {
 		given = true
 		d.Name = f.Text("name", "", true)
 		d.Length = us(f.Duration("length", script.Required))
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// Single defines a function that a script may call at most once.
-func (l *Loader) Single(name string, read func(*Form)) {
+// DefineOnce defines a function that a script may call at most once.
+func (l *Loader) DefineOnce(name string, read func(*Form)) {
 	l.Define(name, func(f *Form) {
 		if before, ok := l.firstCall[name]; ok {
 			f.AddProblem("", "stands at %s already", before)
