--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -121,7 +121,7 @@
 	return q.amount
 }
 
-// Required, passed as the fallback of a numeric field or of a Word, makes the field required.
+// Required, passed as the fallback of a numeric field or of an Enum, makes the field required.
 const Required = -1
 
 // Duration reads a duration in microseconds.
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -38,7 +38,7 @@
 	return &Loader{files: files, predeclared: Units(), loaded: map[string]starlark.StringDict{}, firstCall: map[string]syntax.Position{}}
 }
 
-// Define defines a function that a script may call any number of times. Each call is passed to read as a form.
+// Define makes a function available that a script may call any number of times. Each call is passed to read as a form.
 func (l *Loader) Define(name string, read func(*Form)) {
 	l.predeclared[name] = starlark.NewBuiltin(name, func(th *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 		kwargs []starlark.Tuple) (starlark.Value, error) {
@@ -49,7 +49,7 @@
 	})
 }
 
-// DefineOnce defines a function that a script may call at most once.
+// DefineOnce makes a function available that a script may call at most once.
 func (l *Loader) DefineOnce(name string, read func(*Form)) {
 	l.Define(name, func(f *Form) {
 		if before, ok := l.firstCall[name]; ok {
