--- a/cmd/appleplank/kill_test.go
+++ b/cmd/appleplank/kill_test.go
@@ -17,8 +17,8 @@
 
 var gatewayKills = flag.Int("gateway-kills", 20, "number of times that the gateway is killed under load")
 
-// persistentClient reconnects with the same rings and region after its gateway was killed. It expects exactly one answer
-// to each request that it submitted.
+// persistentClient reconnects with the same rings and region after its gateway was killed. It expects exactly one
+// answer to each request that it submitted.
 type persistentClient struct {
 	cl        *standin.Client
 	path      string
--- a/cmd/appleplank/main.go
+++ b/cmd/appleplank/main.go
@@ -1,5 +1,5 @@
-// Command appleplank is a storage gateway. Block clients connect to it with vhost-user, it connects to storage nodes with
-// NVMe over TCP, and package logic schedules the requests.
+// Command appleplank is a storage gateway. Block clients connect to it with vhost-user, it connects to storage nodes
+// with NVMe over TCP, and package logic schedules the requests.
 package main
 
 import (
@@ -62,8 +62,8 @@
 	return cfg.Build()
 }
 
-// signalContexts returns a context that is cancelled by the first SIGTERM or interrupt, and one that is cancelled by the
-// second. The caller must call stop.
+// signalContexts returns a context that is cancelled by the first SIGTERM or interrupt, and one that is cancelled by
+// the second. The caller must call stop.
 func signalContexts() (first, second context.Context, stop func()) {
 	first, cancelFirst := context.WithCancel(context.Background())
 	second, cancelSecond := context.WithCancel(context.Background())
--- a/cmd/appleplank/main_test.go
+++ b/cmd/appleplank/main_test.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// With serve --takeover the old process exits with status 0 and the client continues with the new one. If the settings of
-// the new process are invalid, it exits with an error and the old process continues.
+// With serve --takeover the old process exits with status 0 and the client continues with the new one. If the settings
+// of the new process are invalid, it exits with an error and the old process continues.
 func TestServeTakeover(t *testing.T) {
 	s := oneNodeShape()
 	s.More = "state(dir = \"kept\")\n"
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost connects package logic to the simulator's protocol. It runs one Host for each instance, reads batches
-// from standard input and writes replies to standard output. It translates and makes no decisions.
+// Command wirehost connects package logic to the simulator's protocol. It runs one Host for each instance, reads
+// batches from standard input and writes replies to standard output. It translates and makes no decisions.
 package main
 
 import (
--- a/internal/script/form.go
+++ b/internal/script/form.go
@@ -69,8 +69,8 @@
 	f.l.Problems = append(f.l.Problems, Problem{f.Pos, at, fmt.Sprintf(format, a...)})
 }
 
-// Lookup returns the value of a field and whether it is given; None counts as not given. It adds a problem if a required
-// field is missing.
+// Lookup returns the value of a field and whether it is given; None counts as not given. It adds a problem if a
+// required field is missing.
 func (f *Form) Lookup(name string, required bool) (starlark.Value, bool) {
 	f.lookedUp = append(f.lookedUp, name)
 	v, ok := f.args[name]
