--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit judges a day by the seven rules. It knows only what crossed the sockets: what clients put on their
-// rings and were answered, and what nodes and the directory were asked and told. It shares no code with the gateway
-// but the settings, which say what the rules' figures are.
+// Package audit checks a recorded day against the seven rules. It sees only what crossed the sockets: the requests on
+// the clients' rings with their answers, and the traffic of the nodes and the directory. The only code that it shares
+// with the gateway is the settings, which hold the rules' parameters.
 package audit
 
 import (
@@ -16,45 +16,45 @@
 	"appleplank/logic"
 )
 
-// Request is a client's record of one ring request.
+// Request is a client's record of one request on its ring.
 type Request struct {
-	Gateway, Volume int // indexes
+	Gateway, Volume int // indexes into Day.Hosts and Config.Volumes
 	Kind            block.Kind
 	Offset, Len     int64
-	Token           uint64 // a write's mark, in its first 8 bytes; unique over the day
+	Token           uint64 // a write's mark, in its first 8 bytes; unique within the day
 	Start, End      time.Time
-	Answers         int // how many came
+	Answers         int // number of answers received
 	Verdict         block.Verdict
-	Left            bool // its client or its gateway went away before an answer came
+	Left            bool // the client or the gateway went away before an answer arrived
 }
 
-// Node is a node's record.
+// Node is a node's record of the commands that it received.
 type Node struct {
 	Commands []standin.Command
-	Fell     bool
+	Fell     bool // the node went down under its load
 }
 
-// Told says that a gateway was told that a node drains or is gone, and until when that stood.
+// Told records that a gateway was notified at time At that a node drains or is gone, which held until time Until.
 type Told struct {
 	Gateway, Node int
 	At, Until     time.Time
 }
 
-// Away is a time in which a gateway stood still or was dead.
+// Away is an interval in which a gateway was stopped or dead.
 type Away struct {
 	Gateway  int
 	From, To time.Time
 	Killed   bool
 }
 
-// Poor is a time in which what a gateway sends to some nodes comes late.
+// Poor is an interval in which commands from a gateway to some nodes arrive late.
 type Poor struct {
 	Gateway  int
 	Nodes    []int
 	From, To time.Time
 }
 
-// Day is all that is known of a day.
+// Day is the full record of a day.
 type Day struct {
 	Config   *settings.Config
 	Hosts    []string // the gateways' host NQNs
@@ -62,27 +62,27 @@
 	Nodes    []Node // by cell
 	Told     []Told
 	Away     []Away
-	TipOver  float64 // of cold nodes: more than so many times their capacity within TipTime
+	TipOver  float64 // load limit of a cold node, as a multiple of its capacity within TipTime; 0 turns the check off
 	TipTime  time.Duration
-	// Grace is what passing a loaded machine's sockets may take; it widens every check by time.
+	// Grace allows for the time that passing the sockets of a loaded machine takes. It widens every check of a time.
 	Grace time.Duration
 
-	Poor []Poor // times in which links between zones were poor
+	Poor []Poor // intervals in which links between zones were slow or lossy
 
-	Moves int // found: commands in mirrored extents that are no client's, as they catch copies up
+	Moves int // set by Check: commands in mirrored extents that bring a copy up to date and belong to no request
 }
 
-// Copies is the number under which findings on mirrored extents stand, beside the seven rules.
+// Copies is the rule number of findings on mirrored extents, in addition to the seven rules.
 const Copies = 8
 
-// Finding is a broken rule.
+// Finding is one violation of a rule.
 type Finding struct {
-	Rule int // 1 to 7, in the order of the brief, or Copies
+	Rule int // index into Names: 1 to 7, or Copies
 	At   time.Time
 	Text string
 }
 
-// Names of the rules, from 1.
+// Names holds the names of the rules, starting at index 1.
 var Names = [9]string{"", "one final answer, in time", "no effect twice", "drains kept", "no cold node pushed over", "order kept",
 	"budget kept", "limits kept", "copies alike"}
 
@@ -90,42 +90,42 @@
 	return fmt.Sprintf("rule %d, %s: %s", f.Rule, Names[f.Rule], f.Text)
 }
 
-// piece is a request's part in one extent, with the commands that were sent for it.
-type piece struct {
-	r        *Request
+// fragment is the part of a request that lies in one extent, with the commands that were sent for it.
+type fragment struct {
+	req  *Request
 	volume   *settings.Volume
 	off, len int64 // in the volume
-	copy     int   // of a mirrored extent, where it is a change
-	sent     []*standin.Command
+	copy     int   // index of the copy in a mirrored extent, if the request is a change
+	commands []*standin.Command
 }
 
 type auditor struct {
 	*Day
-	found  []Finding
-	pieces []*piece
-	hosts  map[string]int
+	findings  []Finding
+	fragments []*fragment
+	hosts     map[string]int
 }
 
-// Check gives every rule that was broken, in time's order.
+// Check returns every violation of a rule, ordered by time.
 func Check(d *Day) []Finding {
 	a := &auditor{Day: d, hosts: map[string]int{}}
 	for i, h := range d.Hosts {
 		a.hosts[h] = i
 	}
-	a.match()
-	a.answers()
-	a.repeats()
-	a.drains()
-	a.cold()
-	a.order()
-	a.budget()
-	a.limits()
-	slices.SortStableFunc(a.found, func(x, y Finding) int { return x.At.Compare(y.At) })
-	return a.found
+	a.matchCommands()
+	a.checkAnswers()
+	a.checkRepeats()
+	a.checkDrains()
+	a.checkColdNodes()
+	a.checkOrder()
+	a.checkBudget()
+	a.checkLimits()
+	slices.SortStableFunc(a.findings, func(x, y Finding) int { return x.At.Compare(y.At) })
+	return a.findings
 }
 
-func (a *auditor) fail(rule int, at time.Time, format string, args ...any) {
-	a.found = append(a.found, Finding{rule, at, fmt.Sprintf(format, args...)})
+func (a *auditor) report(rule int, at time.Time, format string, args ...any) {
+	a.findings = append(a.findings, Finding{rule, at, fmt.Sprintf(format, args...)})
 }
 
 func (a *auditor) class(r *Request) *logic.Class {
@@ -137,8 +137,8 @@
 	return fmt.Sprintf("%s of %d bytes at %d of volume %d through gateway %d", r.Kind, r.Len, r.Offset, r.Volume, r.Gateway)
 }
 
-// place is where a byte range lies at nodes.
-type place struct {
+// location identifies the requests of one gateway and kind for a byte range of a node's namespace.
+type location struct {
 	host      int
 	cell      int
 	namespace uint32
@@ -146,107 +146,107 @@
 	off, len  int64
 }
 
-// match finds the request that each command was sent for. A command for which there is none, or only one that had its
-// answer already, breaks the first rule.
-func (a *auditor) match() {
-	byPlace := map[place][]*piece{}
+// matchCommands finds the request that each command was sent for. A command that has none, or only one that was
+// already answered, breaks rule 1.
+func (a *auditor) matchCommands() {
+	byLocation := map[location][]*fragment{}
 	for _, r := range a.Requests {
 		v := &a.Config.Volumes[r.Volume]
 		for i := range v.Extents {
 			x := &v.Extents[i]
 			from, to := max(r.Offset, x.Start), min(r.Offset+r.Len, x.Start+x.Len)
-			var p *piece
+			var p *fragment
 			for j, c := range x.Copies {
-				// A change is a piece of its own at each copy; a read is one wherever it goes.
+				// A change has one fragment per copy; a read has a single one, whichever copy it goes to.
 				if j == 0 || r.Kind.Changes() {
-					p = &piece{r: r, volume: v, off: from, len: to - from, copy: j}
+					p = &fragment{req: r, volume: v, off: from, len: to - from, copy: j}
 				}
-				at := place{r.Gateway, c.Cell, c.Namespace, r.Kind, c.Base + from - x.Start, to - from}
+				at := location{r.Gateway, c.Cell, c.Namespace, r.Kind, c.Base + from - x.Start, to - from}
 				if r.Kind == block.Flush {
 					p.off, p.len, at.off, at.len = 0, 0, 0, 0
-					if l := byPlace[at]; len(l) > 0 && l[len(l)-1].r == r {
+					if l := byLocation[at]; len(l) > 0 && l[len(l)-1].req == r {
 						continue
 					}
 				} else if from >= to {
 					continue
 				}
 				if j == 0 || r.Kind.Changes() {
-					a.pieces = append(a.pieces, p)
+					a.fragments = append(a.fragments, p)
 				}
-				byPlace[at] = append(byPlace[at], p)
+				byLocation[at] = append(byLocation[at], p)
 			}
 		}
 	}
-	for _, l := range byPlace {
-		slices.SortFunc(l, func(x, y *piece) int { return x.r.Start.Compare(y.r.Start) })
+	for _, l := range byLocation {
+		slices.SortFunc(l, func(x, y *fragment) int { return x.req.Start.Compare(y.req.Start) })
 	}
-	// Writes come last: a read of a mirrored extent that no client asked for tells that the write of the same bytes to
-	// another copy catches that up.
-	read := map[place][]time.Time{}
+	// Writes are matched last: a read of a mirrored extent that no client asked for shows that the write of the same
+	// bytes to another copy brings that copy up to date.
+	catchUpReads := map[location][]time.Time{}
 	for _, writes := range []bool{false, true} {
 		for cell := range a.Nodes {
 			for i := range a.Nodes[cell].Commands {
 				if c := &a.Nodes[cell].Commands[i]; (c.Opcode == nvme.OpWrite) == writes {
-					a.find(cell, c, byPlace, read)
+					a.matchCommand(cell, c, byLocation, catchUpReads)
 				}
 			}
 		}
 	}
-	for _, p := range a.pieces {
-		slices.SortFunc(p.sent, func(x, y *standin.Command) int { return x.Received.Compare(y.Received) })
+	for _, p := range a.fragments {
+		slices.SortFunc(p.commands, func(x, y *standin.Command) int { return x.Received.Compare(y.Received) })
 	}
 }
 
-// find gives a command to the request that it was sent for.
-func (a *auditor) find(cell int, c *standin.Command, byPlace map[place][]*piece, read map[place][]time.Time) {
-	kind, ok := kinds[c.Opcode]
+// matchCommand adds a command to the fragment that it was sent for, or reports it if there is none.
+func (a *auditor) matchCommand(cell int, c *standin.Command, byLocation map[location][]*fragment, catchUpReads map[location][]time.Time) {
+	kind, ok := kindByOpcode[c.Opcode]
 	host, known := a.hosts[c.Host]
 	if !ok || !known {
 		return
 	}
-	at := place{host, cell, c.Namespace, kind, c.Offset, c.Len}
+	at := location{host, cell, c.Namespace, kind, c.Offset, c.Len}
 	if kind == block.Flush {
 		at.off, at.len = 0, 0
 	}
-	x, copy := a.mirrored(cell, c)
-	if x != nil && kind == block.Write {
-		if l := read[at]; len(l) > 0 && l[0].Before(c.Received) {
-			read[at] = l[1:]
+	extent, copyIndex := a.mirroredExtent(cell, c)
+	if extent != nil && kind == block.Write {
+		if l := catchUpReads[at]; len(l) > 0 && l[0].Before(c.Received) {
+			catchUpReads[at] = l[1:]
 			a.Moves++
 			return
 		}
 	}
-	p := a.pick(byPlace[at], c)
-	// A read for which none is open is that of catching up, also where a client once read the very same bytes.
-	if p != nil && x != nil && kind == block.Read && !p.r.Left && p.r.Answers > 0 && c.Received.After(p.r.End.Add(a.Grace)) {
+	p := a.pickFragment(byLocation[at], c)
+	// A read with no open request brings a copy up to date, even if a client has read the same bytes before.
+	if p != nil && extent != nil && kind == block.Read && !p.req.Left && p.req.Answers > 0 && c.Received.After(p.req.End.Add(a.Grace)) {
 		p = nil
 	}
-	if p == nil && x != nil && (kind == block.Read || kind == block.Write) {
+	if p == nil && extent != nil && (kind == block.Read || kind == block.Write) {
 		a.Moves++
-		for i, to := range x.Copies {
-			if i != copy && kind == block.Read {
-				k := place{host, to.Cell, to.Namespace, block.Write, to.Base + c.Offset - x.Copies[copy].Base, c.Len}
-				read[k] = append(read[k], c.Received)
+		for i, to := range extent.Copies {
+			if i != copyIndex && kind == block.Read {
+				k := location{host, to.Cell, to.Namespace, block.Write, to.Base + c.Offset - extent.Copies[copyIndex].Base, c.Len}
+				catchUpReads[k] = append(catchUpReads[k], c.Received)
 			}
 		}
 		return
 	}
 	if p == nil {
-		a.fail(1, c.Received, "node %d was sent a %s of %d bytes at %d of namespace %d that no client asked for", cell, kind, c.Len, c.Offset, c.Namespace)
+		a.report(1, c.Received, "node %d was sent a %s of %d bytes at %d of namespace %d that no client asked for", cell, kind, c.Len, c.Offset, c.Namespace)
 		return
 	}
-	p.sent = append(p.sent, c)
-	end := p.r.End
-	if x != nil && kind.Changes() { // answered when enough copies hold it, it goes on to the others
-		end = p.r.Start.Add(time.Duration(a.class(p.r).Deadline) * time.Microsecond)
+	p.commands = append(p.commands, c)
+	end := p.req.End
+	if extent != nil && kind.Changes() { // It is answered once enough copies hold it, and is then sent to the others.
+		end = p.req.Start.Add(time.Duration(a.class(p.req).Deadline) * time.Microsecond)
 	}
-	if !p.r.Left && p.r.Answers > 0 && c.Received.After(end.Add(a.Grace)) && !a.awayBetween(host, p.r.Start, c.Received) && !a.poor(host, cell, end, c.Received) {
-		a.fail(1, c.Received, "%s was sent to node %d %v after its answer", p.r, cell, c.Received.Sub(p.r.End))
+	if !p.req.Left && p.req.Answers > 0 && c.Received.After(end.Add(a.Grace)) && !a.unavailableBetween(host, p.req.Start, c.Received) && !a.degradedBetween(host, cell, end, c.Received) {
+		a.report(1, c.Received, "%s was sent to node %d %v after its answer", p.req, cell, c.Received.Sub(p.req.End))
 	}
 }
 
-// poor tells whether what a gateway sent to a node at some time between may have come late.
-func (a *auditor) poor(gateway, node int, from, to time.Time) bool {
+// degradedBetween reports whether commands from a gateway to a node may have arrived late at some time between the two.
+func (a *auditor) degradedBetween(gateway, node int, from, to time.Time) bool {
 	for _, p := range a.Poor {
 		if p.Gateway == gateway && slices.Contains(p.Nodes, node) && p.From.Before(to) && p.To.After(from) {
 			return true
@@ -255,8 +255,8 @@
 	return false
 }
 
-// mirrored gives the mirrored extent that a command lies in, and the copy.
-func (a *auditor) mirrored(cell int, c *standin.Command) (x *settings.Extent, copy int) {
+// mirroredExtent returns the mirrored extent that a command lies in and the index of the copy, or nil if there is none.
+func (a *auditor) mirroredExtent(cell int, c *standin.Command) (x *settings.Extent, copyIndex int) {
 	for i := range a.Config.Volumes {
 		for j := range a.Config.Volumes[i].Extents {
 			x := &a.Config.Volumes[i].Extents[j]
@@ -270,32 +270,33 @@
 	return nil, 0
 }
 
-var kinds = map[uint8]block.Kind{nvme.OpRead: block.Read, nvme.OpWrite: block.Write, nvme.OpFlush: block.Flush,
+var kindByOpcode = map[uint8]block.Kind{nvme.OpRead: block.Read, nvme.OpWrite: block.Write, nvme.OpFlush: block.Flush,
 	nvme.OpWriteZeroes: block.WriteZeroes}
 
-// pick is the request of those for the same bytes that a command belongs to: by its mark, or the last one asked
-// before that had no answer yet, or else the last one.
-func (a *auditor) pick(l []*piece, c *standin.Command) (found *piece) {
-	for _, p := range l {
+// pickFragment returns the candidate that a command belongs to; candidates are for the same bytes, ordered by start
+// time. A write is matched by its mark. Any other command belongs to the last candidate that started before it and was
+// open or abandoned by its client, or to the first one that started before it if there is none.
+func (a *auditor) pickFragment(candidates []*fragment, c *standin.Command) (found *fragment) {
+	for _, p := range candidates {
 		if c.Opcode == nvme.OpWrite {
-			// A piece that is not a request's first begins with the mark of its first sector all the same.
-			if p.r.Token == c.Token {
+			// Each sector carries the mark, so a fragment that is not the request's first one starts with it too.
+			if p.req.Token == c.Token {
 				return p
 			}
 			continue
 		}
-		if p.r.Start.After(c.Received) {
+		if p.req.Start.After(c.Received) {
 			break
 		}
-		if found == nil || p.r.Left || p.r.End.Add(a.Grace).After(c.Received) {
+		if found == nil || p.req.Left || p.req.End.Add(a.Grace).After(c.Received) {
 			found = p
 		}
 	}
 	return found
 }
 
-// awayBetween tells whether a gateway stood still or was dead at some time between.
-func (a *auditor) awayBetween(gateway int, from, to time.Time) bool {
+// unavailableBetween reports whether a gateway was stopped or dead at some time between the two.
+func (a *auditor) unavailableBetween(gateway int, from, to time.Time) bool {
 	for _, w := range a.Away {
 		if w.Gateway == gateway && w.From.Before(to) && w.To.After(from) {
 			return true
@@ -304,71 +305,72 @@
 	return false
 }
 
-// answers: rule 1.
-func (a *auditor) answers() {
+// checkAnswers checks rule 1: each request gets exactly one answer, in time.
+func (a *auditor) checkAnswers() {
 	for _, r := range a.Requests {
 		if r.Left {
 			continue
 		}
 		switch {
 		case r.Answers == 0:
-			a.fail(1, r.Start, "%s was never answered", r)
+			a.report(1, r.Start, "%s was never answered", r)
 		case r.Answers > 1:
-			a.fail(1, r.End, "%s was answered %d times", r, r.Answers)
+			a.report(1, r.End, "%s was answered %d times", r, r.Answers)
 		default:
 			limit := time.Duration(a.class(r).Deadline+a.Config.Logic.Rules.AnswerSlack) * time.Microsecond
-			if took := r.End.Sub(r.Start); took > limit+a.Grace && !a.awayBetween(r.Gateway, r.Start, r.End) {
-				a.fail(1, r.End, "%s was answered after %v, its deadline was %v", r, took, limit)
+			if took := r.End.Sub(r.Start); took > limit+a.Grace && !a.unavailableBetween(r.Gateway, r.Start, r.End) {
+				a.report(1, r.End, "%s was answered after %v, its deadline was %v", r, took, limit)
 			}
 		}
 	}
 }
 
-// repeats: rule 2.
-func (a *auditor) repeats() {
-	for _, p := range a.pieces {
-		cl := a.class(p.r)
+// checkRepeats checks rule 2: a change that is not safe to retry takes effect at most once.
+func (a *auditor) checkRepeats() {
+	for _, p := range a.fragments {
+		cl := a.class(p.req)
 		if cl.Repeat == logic.Retryable {
 			continue
 		}
-		ran := 0
-		for i, c := range p.sent {
+		executions := 0
+		for i, c := range p.commands {
 			if c.Executed.IsZero() || c.Repeat {
 				continue
 			}
-			if ran++; ran > 1 {
-				a.fail(2, c.Executed, "%s took effect %d times", p.r, ran)
+			if executions++; executions > 1 {
+				a.report(2, c.Executed, "%s took effect %d times", p.req, executions)
 			}
 			if cl.Repeat == logic.Fragile && i > 0 {
-				if before := p.sent[i-1]; before.Status == nvme.Success && !before.Executed.IsZero() {
-					a.fail(2, c.Received, "%s may have run and was sent again", p.r)
+				if before := p.commands[i-1]; before.Status == nvme.Success && !before.Executed.IsZero() {
+					a.report(2, c.Received, "%s may have run and was sent again", p.req)
 				}
 			}
 		}
-		if p.r.Verdict == block.Refused && p.r.Answers > 0 && ran > 0 && cl.Repeat != logic.Retryable {
-			a.fail(2, p.r.End, "%s was refused, which promises that a retry is harmless, but took effect", p.r)
+		if p.req.Verdict == block.Refused && p.req.Answers > 0 && executions > 0 && cl.Repeat != logic.Retryable {
+			a.report(2, p.req.End, "%s was refused, which promises that a retry is harmless, but took effect", p.req)
 		}
 	}
 }
 
-// drains: rule 3.
-func (a *auditor) drains() {
+// checkDrains checks rule 3: a gateway stops sending to a node within StopSending of
+// the notice that the node drains or is gone.
+func (a *auditor) checkDrains() {
 	grace := time.Duration(a.Config.Logic.Rules.StopSending)*time.Microsecond + a.Grace
 	for _, t := range a.Told {
 		for i := range a.Nodes[t.Node].Commands {
 			c := &a.Nodes[t.Node].Commands[i]
-			if a.hosts[c.Host] != t.Gateway || !c.Received.After(t.At.Add(grace)) || !c.Received.Before(t.Until) || a.awayBetween(t.Gateway, t.At, c.Received) ||
-				a.poor(t.Gateway, t.Node, t.At, c.Received) {
+			if a.hosts[c.Host] != t.Gateway || !c.Received.After(t.At.Add(grace)) || !c.Received.Before(t.Until) || a.unavailableBetween(t.Gateway, t.At, c.Received) ||
+				a.degradedBetween(t.Gateway, t.Node, t.At, c.Received) {
 				continue
 			}
-			a.fail(3, c.Received, "node %d was sent new work by gateway %d, %v after that was told that it drains or is gone", t.Node, t.Gateway,
+			a.report(3, c.Received, "node %d was sent new work by gateway %d, %v after that was told that it drains or is gone", t.Node, t.Gateway,
 				c.Received.Sub(t.At))
 		}
 	}
 }
 
-// cold: rule 4.
-func (a *auditor) cold() {
+// checkColdNodes checks rule 4: no node goes down under its load, and no cold node is sent more work than it bears.
+func (a *auditor) checkColdNodes() {
 	for i := range a.Nodes {
 		n := &a.Nodes[i]
 		if n.Fell {
@@ -376,7 +378,7 @@
 			if len(n.Commands) > 0 {
 				at = n.Commands[len(n.Commands)-1].Received
 			}
-			a.fail(4, at, "node %d was pushed over", i)
+			a.report(4, at, "node %d was pushed over", i)
 		}
 		if a.TipOver <= 0 {
 			continue
@@ -390,127 +392,128 @@
 				first++
 			}
 			if c.Cold && float64(sum) > a.TipOver*c.Capacity*float64(a.TipTime) {
-				a.fail(4, c.Received, "node %d was sent %v of work within %v while it was worth %.2f cores", i, sum, a.TipTime, c.Capacity)
+				a.report(4, c.Received, "node %d was sent %v of work within %v while it was worth %.2f cores", i, sum, a.TipTime, c.Capacity)
 				break
 			}
 		}
 	}
 }
 
-// order: rule 5. A change may not take effect after a later one of the same bytes was sent to the node, unless the
-// later one has waited out the rest that the rule gives an attempt whose end is not known.
-func (a *auditor) order() {
+// checkOrder checks rule 5: a change must not take effect after a later change of the same bytes was sent to the node,
+// unless the later one has waited for OrderPause, the pause after an attempt whose outcome is unknown.
+func (a *auditor) checkOrder() {
 	pause := time.Duration(a.Config.Logic.Rules.OrderPause) * time.Microsecond
-	byVolume := map[[3]int][]*piece{} // by volume, gateway and copy: each gateway keeps the order of what it took at each
-	for _, p := range a.pieces {
-		if p.r.Kind.Changes() && a.class(p.r).InOrder && len(p.sent) > 0 {
-			key := [3]int{p.r.Volume, p.r.Gateway, p.copy}
+	byVolume := map[[3]int][]*fragment{} // by volume, gateway and copy: each gateway keeps its own order at each copy
+	for _, p := range a.fragments {
+		if p.req.Kind.Changes() && a.class(p.req).InOrder && len(p.commands) > 0 {
+			key := [3]int{p.req.Volume, p.req.Gateway, p.copy}
 			byVolume[key] = append(byVolume[key], p)
 		}
 	}
 	for _, l := range byVolume {
-		slices.SortFunc(l, func(x, y *piece) int { return cmp.Or(cmp.Compare(x.off, y.off), x.r.Start.Compare(y.r.Start)) })
-		longest := int64(0)
+		slices.SortFunc(l, func(x, y *fragment) int { return cmp.Or(cmp.Compare(x.off, y.off), x.req.Start.Compare(y.req.Start)) })
+		maxLen := int64(0)
 		for i, p := range l {
-			longest = max(longest, p.len)
-			for j := i - 1; j >= 0 && l[j].off+longest > p.off; j-- {
+			maxLen = max(maxLen, p.len)
+			for j := i - 1; j >= 0 && l[j].off+maxLen > p.off; j-- {
 				if q := l[j]; q.off+q.len > p.off {
-					a.pair(p, q, pause)
-					a.pair(q, p, pause)
+					a.checkPair(p, q, pause)
+					a.checkPair(q, p, pause)
 				}
 			}
 		}
 	}
 }
 
-// pair looks for a command of p that took effect after q's were sent, having been sent before them.
-func (a *auditor) pair(p, q *piece, pause time.Duration) {
-	if p.r == q.r {
+// checkPair reports a command of earlier that was sent before a command of later but took effect after that was sent.
+func (a *auditor) checkPair(earlier, later *fragment, pause time.Duration) {
+	if earlier.req == later.req {
 		return
 	}
-	for _, x := range p.sent {
-		for _, y := range q.sent {
+	for _, x := range earlier.commands {
+		for _, y := range later.commands {
 			if x.Received.Before(y.Received) && x.Executed.After(y.Received) && y.Received.Before(x.Received.Add(pause)) {
-				a.fail(5, y.Received, "%s was sent while %s was not over: it took effect %v later", q.r, p.r, x.Executed.Sub(y.Received))
+				a.report(5, y.Received, "%s was sent while %s was not over: it took effect %v later", later.req, earlier.req, x.Executed.Sub(y.Received))
 				return
 			}
 		}
 	}
 }
 
-// budget: rule 6.
-func (a *auditor) budget() {
+// checkBudget checks rule 6: the retries of each gateway within a window stay within its retry budget.
+func (a *auditor) checkBudget() {
 	r := &a.Config.Logic.Rules
 	if r.BudgetWindow <= 0 {
 		return
 	}
 	window := time.Duration(r.BudgetWindow)*time.Microsecond - a.Grace
 	for g := range a.Hosts {
-		var taken, extra []time.Time
+		var accepted, retries []time.Time
 		for _, q := range a.Requests {
 			if q.Gateway == g {
-				taken = append(taken, q.Start)
+				accepted = append(accepted, q.Start)
 			}
 		}
-		for _, p := range a.pieces {
-			if p.r.Gateway == g {
-				for _, c := range p.sent[min(1, len(p.sent)):] {
-					extra = append(extra, c.Received)
+		for _, p := range a.fragments {
+			if p.req.Gateway == g {
+				for _, c := range p.commands[min(1, len(p.commands)):] {
+					retries = append(retries, c.Received)
 				}
 			}
 		}
-		slices.SortFunc(taken, time.Time.Compare)
-		slices.SortFunc(extra, time.Time.Compare)
-		for i, at := range extra {
-			if a.awayBetween(g, at.Add(-2*window), at) {
+		slices.SortFunc(accepted, time.Time.Compare)
+		slices.SortFunc(retries, time.Time.Compare)
+		for i, at := range retries {
+			if a.unavailableBetween(g, at.Add(-2*window), at) {
 				continue
 			}
 			n := 1
-			for j := i - 1; j >= 0 && at.Sub(extra[j]) < window; j-- {
+			for j := i - 1; j >= 0 && at.Sub(retries[j]) < window; j-- {
 				n++
 			}
-			// What was taken in a window a little longer, as what is counted as sent then may have been taken before.
-			took := 0
-			for _, t := range taken {
+			// The window for accepted requests is a little longer, as a request may have been accepted some time
+			// before its commands are counted as sent.
+			acceptedInWindow := 0
+			for _, t := range accepted {
 				if !t.After(at) && at.Sub(t) <= window+2*a.Grace {
-					took++
+					acceptedInWindow++
 				}
 			}
-			if allowed := r.BudgetFree + r.BudgetPerTake*float64(took); float64(n) > allowed {
-				a.fail(6, at, "gateway %d made %d further attempts within %v, %.1f were allowed", g, n, window, allowed)
+			if allowed := r.BudgetFree + r.BudgetPerTake*float64(acceptedInWindow); float64(n) > allowed {
+				a.report(6, at, "gateway %d made %d further attempts within %v, %.1f were allowed", g, n, window, allowed)
 				break
 			}
 		}
 	}
 }
 
-// limits: rule 7, over all gateways together.
-func (a *auditor) limits() {
+// checkLimits checks rule 7: the plan limit of each volume holds over all gateways together.
+func (a *auditor) checkLimits() {
 	for i := range a.Config.Volumes {
 		v := &a.Config.Volumes[i]
 		plan := &a.Config.Logic.Plans[v.Plan]
 		if plan.Limit <= 0 {
 			continue
 		}
-		type draw struct {
+		type charge struct {
 			at    time.Time
 			units float64
 		}
-		var draws []draw
-		for _, p := range a.pieces {
-			if p.r.Volume == i && len(p.sent) > 0 {
-				draws = append(draws, draw{p.sent[0].Received, v.Units(p.len)})
+		var charges []charge
+		for _, p := range a.fragments {
+			if p.req.Volume == i && len(p.commands) > 0 {
+				charges = append(charges, charge{p.commands[0].Received, v.Units(p.len)})
 			}
 		}
-		slices.SortFunc(draws, func(x, y draw) int { return x.at.Compare(y.at) })
+		slices.SortFunc(charges, func(x, y charge) int { return x.at.Compare(y.at) })
 		level, last := plan.LimitBurst, time.Time{}
-		for _, d := range draws {
+		for _, d := range charges {
 			if !last.IsZero() {
 				level = min(level+plan.Limit*d.at.Sub(last).Seconds(), plan.LimitBurst)
 			}
 			last = d.at
 			if level -= d.units; level < -plan.LimitSlack-plan.Limit*a.Grace.Seconds() {
-				a.fail(7, d.at, "volume %q was sent %.1f units more than its plan's limit allows, slack %.1f", v.Name, -level, plan.LimitSlack)
+				a.report(7, d.at, "volume %q was sent %.1f units more than its plan's limit allows, slack %.1f", v.Name, -level, plan.LimitSlack)
 				break
 			}
 		}
