--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -92,7 +92,7 @@
 
 // fragment is the part of a request that lies in one extent, with the commands that were sent for it.
 type fragment struct {
-	req  *Request
+	req      *Request
 	volume   *settings.Volume
 	off, len int64 // in the volume
 	copy     int   // index of the copy in a mirrored extent, if the request is a change
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -1,5 +1,5 @@
-// Package day reads the scripts of troubles that are played through a fleet: what load there is, and what goes wrong
-// when. The same file plays on real sockets and in simulated time.
+// Package day reads scripts of faults to play on a fleet: the load, and which fault occurs when. The same script runs
+// on real sockets and in simulated time.
 package day
 
 import (
@@ -14,43 +14,43 @@
 	"appleplank/internal/script"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind string
 
-// The kinds, as a script calls them.
+// The kinds of faults, under the names of their functions in a script.
 const (
-	Burst       Kind = "burst"        // all load times so much
-	Surge       Kind = "surge"        // the load of one plan's volumes times so much
-	Slow        Kind = "slow"         // nodes take times as long
-	Hang        Kind = "hang"         // nodes take commands and work on none
-	Lose        Kind = "lose"         // a part of the nodes' answers never leaves
-	Twice       Kind = "twice"        // a part of the answers leaves twice
-	WrongID     Kind = "wrong_id"     // a part of the answers leaves under an id that is not out
-	Fail        Kind = "fail"         // nodes fail a part of the commands at once
-	Full        Kind = "full"         // nodes turn everything away
-	LateReports Kind = "late_reports" // load reports are refreshed only so often
-	Deaf        Kind = "deaf"         // nodes take connections and never answer
-	Drip        Kind = "drip"         // nodes send so many bytes a second
-	Reset       Kind = "reset"        // nodes break their connections once
-	Crash       Kind = "crash"        // nodes die, and come back cold after the time that lasts
-	Drain       Kind = "drain"        // nodes say that they drain
-	StaleList   Kind = "stale_list"   // the directory tells changes so much later
-	RepeatList  Kind = "repeat_list"  // the directory tells of a change though nothing has changed
-	Flap        Kind = "flap"         // the directory drops and names nodes by turns, every so often
-	Eager       Kind = "eager"        // clients repeat at once what was refused or failed
-	Vanish      Kind = "vanish"       // clients leave in the middle of what they do, and new ones come
-	Stop        Kind = "stop"         // a gateway's process is stopped and goes on
-	Takeover    Kind = "takeover"     // a second process takes over from a gateway's, as for new software
-	Link        Kind = "link"         // the link between two zones is late, narrow and loses data
-	Cut         Kind = "cut"          // it passes nothing, both ways or one; by turns where every is given
-	Kill        Kind = "kill"         // a gateway's process is killed, and started again after the time that lasts
+	Burst       Kind = "burst"        // the whole load is multiplied by Times
+	Surge       Kind = "surge"        // the load of one plan's volumes is multiplied by Times
+	Slow        Kind = "slow"         // nodes take Times as long
+	Hang        Kind = "hang"         // nodes accept commands but process none
+	Lose        Kind = "lose"         // the share Part of the nodes' answers is never sent
+	Twice       Kind = "twice"        // the share Part of the answers is sent twice
+	WrongID     Kind = "wrong_id"     // the share Part of the answers is sent under an id that is not in flight
+	Fail        Kind = "fail"         // nodes fail the share Part of the commands at once
+	Full        Kind = "full"         // nodes reject every command
+	LateReports Kind = "late_reports" // load reports are refreshed only every By
+	Deaf        Kind = "deaf"         // nodes accept connections but never answer
+	Drip        Kind = "drip"         // nodes send Bytes bytes a second
+	Reset       Kind = "reset"        // nodes drop their connections once
+	Crash       Kind = "crash"        // nodes crash, and restart cold after For
+	Drain       Kind = "drain"        // nodes report that they are draining
+	StaleList   Kind = "stale_list"   // the directory announces changes late, by By
+	RepeatList  Kind = "repeat_list"  // the directory announces a change although nothing has changed
+	Flap        Kind = "flap"         // the directory alternately drops and lists nodes, every By
+	Eager       Kind = "eager"        // clients retry refused and failed requests at once
+	Vanish      Kind = "vanish"       // clients disconnect with requests in flight, and new ones connect
+	Stop        Kind = "stop"         // a gateway's process is stopped, and resumed after For
+	Takeover    Kind = "takeover"     // a second process takes over from a gateway's process, as in a software update
+	Link        Kind = "link"         // the link between two zones has delay, limited bandwidth and loss
+	Cut         Kind = "cut"          // the link passes nothing in one or both directions; if By is set, on and off
+	Kill        Kind = "kill"         // a gateway's process is killed, and started again after For
 )
 
-// Event is one trouble.
+// Event is one fault. Which fields are set depends on its kind.
 type Event struct {
 	Kind    Kind
-	At, For time.Duration
-	Nodes   []int // indexes
+	At, For time.Duration // start, from the start of the day, and how long it lasts
+	Nodes   []int         // indexes of nodes
 	Gateway int
 	Clients int
 	Plan    string
@@ -58,10 +58,10 @@
 	Part    float64
 	By      time.Duration
 	Bytes   int
-	Zones   [2]int        // of the gateways and of the nodes
-	Jitter  time.Duration // of a link; By is its delay, Part what it loses, Bytes its bandwidth a second
-	There   bool          // a cut link passes nothing to the nodes
-	Back    bool          // and nothing from them
+	Zones   [2]int        // the zone of the gateways and that of the nodes
+	Jitter  time.Duration // of a link, whose delay is By, loss Part and bandwidth Bytes a second
+	There   bool          // a cut link passes nothing towards the nodes
+	Back    bool          // a cut link passes nothing back from the nodes
 }
 
 func (e Event) String() string {
@@ -87,22 +87,22 @@
 	return s
 }
 
-// Day is a script.
+// Day is the content of one script.
 type Day struct {
 	Name   string
 	Length time.Duration
-	Rate   float64 // requests a second over all volumes
-	Events []Event // by time
+	Rate   float64 // requests a second, over all volumes
+	Events []Event // ordered by start
 }
 
-// Shape bounds what a script may name.
+// Shape describes the fleet: the numbers of nodes, gateways and zones and the plans that a script may refer to.
 type Shape struct {
 	Nodes, Gateways int
 	Zones           int
 	Plans           []string
 }
 
-// Zoned tells whether a day needs zones with links between them.
+// Zoned reports whether the day needs zones with links between them.
 func (d *Day) Zoned() bool {
 	return slices.ContainsFunc(d.Events, func(e Event) bool { return e.Kind == Link || e.Kind == Cut })
 }
@@ -113,41 +113,41 @@
 	return Read(os.DirFS(cmp.Or(dir, ".")), name, shape)
 }
 
-// Read reads a script from files.
+// Read reads the script called name in files.
 func Read(files fs.FS, name string, shape Shape) (*Day, error) {
-	l := script.New(files)
+	loader := script.New(files)
 	d := &Day{}
-	given := false
-	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
-	l.Single("day", func(f *script.Form) {
-		given = true
+	daySeen := false
+	microseconds := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+	loader.Single("day", func(f *script.Form) {
+		daySeen = true
 		d.Name = f.Text("name", "", true)
-		d.Length = us(f.Duration("length", script.Must))
+		d.Length = microseconds(f.Duration("length", script.Must))
 		d.Rate = f.Number("rate", script.Must)
 		if d.Length > time.Hour {
-			f.Bad("length", "is over an hour")
+			f.Bad("length", "is longer than an hour")
 		}
 	})
-	event := func(kind Kind, read func(f *script.Form, e *Event)) {
-		l.Many(string(kind), func(f *script.Form) {
-			e := Event{Kind: kind, At: us(f.Duration("at", script.Must))}
+	register := func(kind Kind, read func(f *script.Form, e *Event)) {
+		loader.Many(string(kind), func(f *script.Form) {
+			e := Event{Kind: kind, At: microseconds(f.Duration("at", script.Must))}
 			read(f, &e)
-			if given && e.At+e.For > d.Length {
-				f.Bad("at", "%v is past the day's length of %v, which must stand before it", e.At+e.For, d.Length)
-			} else if !given {
-				f.Bad("", "stands before day()")
+			if daySeen && e.At+e.For > d.Length {
+				f.Bad("at", "%v is past the day's length of %v", e.At+e.For, d.Length)
+			} else if !daySeen {
+				f.Bad("", "is called before day()")
 			}
 			d.Events = append(d.Events, e)
 		})
 	}
-	lasting := func(f *script.Form, e *Event) { e.For = us(f.Duration("lasting", script.Must)) }
+	lasting := func(f *script.Form, e *Event) { e.For = microseconds(f.Duration("lasting", script.Must)) }
 	nodes := func(f *script.Form, e *Event) { e.Nodes = f.Wholes("nodes", true, 0, int64(shape.Nodes)-1) }
-	times := func(f *script.Form, e *Event) {
+	factor := func(f *script.Form, e *Event) {
 		if e.Times = f.Number("times", script.Must); e.Times > 1000 {
 			f.Bad("times", "%v is over 1000", e.Times)
 		}
 	}
-	part := func(f *script.Form, e *Event) {
+	share := func(f *script.Form, e *Event) {
 		if e.Part = f.Number("part", script.Must); e.Part > 1 {
 			f.Bad("part", "%v is over 1", e.Part)
 		}
@@ -155,68 +155,68 @@
 	gateway := func(f *script.Form, e *Event) {
 		e.Gateway = int(f.Whole("gateway", script.Must, 0, int64(shape.Gateways)-1))
 	}
-	all := func(parts ...func(*script.Form, *Event)) func(*script.Form, *Event) {
+	combine := func(readers ...func(*script.Form, *Event)) func(*script.Form, *Event) {
 		return func(f *script.Form, e *Event) {
-			for _, p := range parts {
+			for _, p := range readers {
 				p(f, e)
 			}
 		}
 	}
-	event(Burst, all(lasting, times))
-	event(Surge, all(lasting, times, func(f *script.Form, e *Event) {
+	register(Burst, combine(lasting, factor))
+	register(Surge, combine(lasting, factor, func(f *script.Form, e *Event) {
 		if e.Plan = f.Text("plan", "", true); !slices.Contains(shape.Plans, e.Plan) && e.Plan != "" {
-			f.Bad("plan", "%q is none of %v", e.Plan, shape.Plans)
+			f.Bad("plan", "%q is not one of %v", e.Plan, shape.Plans)
 		}
 	}))
-	event(Slow, all(lasting, nodes, times))
+	register(Slow, combine(lasting, nodes, factor))
 	for _, k := range []Kind{Lose, Twice, WrongID, Fail} {
-		event(k, all(lasting, nodes, part))
+		register(k, combine(lasting, nodes, share))
 	}
 	for _, k := range []Kind{Hang, Full, Deaf, Crash, Drain} {
-		event(k, all(lasting, nodes))
+		register(k, combine(lasting, nodes))
 	}
-	event(Reset, all(nodes))
-	event(LateReports, all(lasting, nodes, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Must)) }))
-	event(Drip, all(lasting, nodes, func(f *script.Form, e *Event) { e.Bytes = int(f.Whole("bytes", script.Must, 1, 1<<30)) }))
-	event(StaleList, all(lasting, func(f *script.Form, e *Event) { e.By = us(f.Duration("by", script.Must)) }))
-	event(Flap, all(lasting, nodes, func(f *script.Form, e *Event) {
-		if e.By = us(f.Duration("every", script.Must)); e.By < 10*time.Millisecond {
-			f.Bad("every", "is under 10 ms")
+	register(Reset, combine(nodes))
+	register(LateReports, combine(lasting, nodes, func(f *script.Form, e *Event) { e.By = microseconds(f.Duration("by", script.Must)) }))
+	register(Drip, combine(lasting, nodes, func(f *script.Form, e *Event) { e.Bytes = int(f.Whole("bytes", script.Must, 1, 1<<30)) }))
+	register(StaleList, combine(lasting, func(f *script.Form, e *Event) { e.By = microseconds(f.Duration("by", script.Must)) }))
+	register(Flap, combine(lasting, nodes, func(f *script.Form, e *Event) {
+		if e.By = microseconds(f.Duration("every", script.Must)); e.By < 10*time.Millisecond {
+			f.Bad("every", "is less than 10 ms")
 		}
 	}))
 	zones := func(f *script.Form, e *Event) {
 		z := f.Wholes("zones", true, 0, int64(shape.Zones)-1)
 		if len(z) != 2 || z[0] == z[1] {
-			f.Bad("zones", "want two: that of the gateways and that of the nodes")
+			f.Bad("zones", "want two different zones: that of the gateways and that of the nodes")
 			return
 		}
 		e.Zones = [2]int{z[0], z[1]}
 	}
-	event(Link, all(lasting, zones, func(f *script.Form, e *Event) {
-		e.By, e.Jitter = us(f.Duration("delay", 0)), us(f.Duration("jitter", 0))
+	register(Link, combine(lasting, zones, func(f *script.Form, e *Event) {
+		e.By, e.Jitter = microseconds(f.Duration("delay", 0)), microseconds(f.Duration("jitter", 0))
 		if e.Part = f.Number("loss", 0); e.Part > 1 {
 			f.Bad("loss", "%v is over 1", e.Part)
 		}
 		e.Bytes = int(f.Size("bandwidth", 0))
 	}))
-	event(Cut, all(lasting, zones, func(f *script.Form, e *Event) {
+	register(Cut, combine(lasting, zones, func(f *script.Form, e *Event) {
 		way := f.Word("way", 0, "both", "there", "back")
 		e.There, e.Back = way != 2, way != 1
-		if e.By = us(f.Duration("every", 0)); e.By > 0 && e.By < 10*time.Millisecond {
-			f.Bad("every", "is under 10 ms")
+		if e.By = microseconds(f.Duration("every", 0)); e.By > 0 && e.By < 10*time.Millisecond {
+			f.Bad("every", "is less than 10 ms")
 		}
 	}))
-	event(Eager, all(lasting))
-	event(Vanish, func(f *script.Form, e *Event) { e.Clients = int(f.Whole("clients", script.Must, 1, 1000)) })
-	event(RepeatList, all())
-	event(Stop, all(lasting, gateway))
-	event(Kill, all(lasting, gateway))
-	event(Takeover, all(gateway))
-	if err := l.Run(name); err != nil {
+	register(Eager, combine(lasting))
+	register(Vanish, func(f *script.Form, e *Event) { e.Clients = int(f.Whole("clients", script.Must, 1, 1000)) })
+	register(RepeatList, combine())
+	register(Stop, combine(lasting, gateway))
+	register(Kill, combine(lasting, gateway))
+	register(Takeover, combine(gateway))
+	if err := loader.Run(name); err != nil {
 		return nil, err
 	}
-	if !given {
-		return nil, fmt.Errorf("%s: no day() stands in it", name)
+	if !daySeen {
+		return nil, fmt.Errorf("%s: does not call day()", name)
 	}
 	slices.SortStableFunc(d.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return d, nil
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -11,7 +11,7 @@
 
 var shape = Shape{Nodes: 8, Gateways: 3, Zones: 2, Plans: []string{"basic", "standard", "priority"}}
 
-// Every script that is shipped can be played, and together they have every kind of trouble.
+// Every shipped script loads, and together they use the listed kinds of faults.
 func TestShipped(t *testing.T) {
 	paths, err := filepath.Glob("../../days/*.star")
 	if err != nil || len(paths) == 0 {
@@ -49,7 +49,7 @@
 		"slow(at = s(1), lasting = s(1), nodes = [8], times = 2)\n":  "slow.nodes: 8 is no whole number between 0 and 7",
 		"slow(at = s(9.5), lasting = s(1), nodes = [], times = 2)\n": "past the day's length",
 		"lose(at = s(1), lasting = s(1), nodes = [1], part = 2)\n":   "lose.part: 2 is over 1",
-		"surge(at = s(1), lasting = s(1), plan = 'x', times = 2)\n":  "is none of",
+		"surge(at = s(1), lasting = s(1), plan = 'x', times = 2)\n":  "is not one of",
 		"kill(at = s(1), lasting = s(1), gateway = 3)\n":             "not between 0 and 2",
 		"burst(at = 1, lasting = s(1), times = 2)\n":                 "want a duration",
 	} {
