--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet sets up a small fleet on loopback: stand-in nodes, a directory, and the settings of gateways that use
-// them. The demo, the tests and the measurements share it.
+// Package fleet sets up a small fleet on loopback for the demo, tests and benchmarks: stand-in nodes, directories, and
+// the settings of the gateways that use them.
 package fleet
 
 import (
@@ -14,58 +14,58 @@
 	"appleplank/internal/standin"
 )
 
-// Shape is what a fleet looks like.
+// Shape describes a fleet.
 type Shape struct {
 	Nodes    int
 	Gateways int
-	Node     standin.NodeConfig // what all nodes are like; names, addresses and namespaces are filled in
+	Node     standin.NodeConfig // of every node; New sets its NQN and namespaces and adds its index to the seed
 	Volumes  []Volume
-	Zones    []int  // of the nodes; not told where empty
-	At       []int  // zones of the gateways; all 0 where Zones is given and this is not
+	Zones    []int  // zone of each node; left out of the settings if empty
+	At       []int  // zone of each gateway; all 0 if only Zones is given
 	Links    bool   // gateways reach nodes of other zones over links that can be cut; see Link
-	Listed   bool   // a directory names the nodes, instead of the settings
-	Head     string // settings that all gateways share: classes, plans, rules
-	Gateway  string // more arguments of gateway()
-	Last     string // calls that stand behind the volumes
-	More     string // further calls: times, bounds, state; %s stands for the gateway's name
+	Listed   bool   // the nodes are listed by a directory instead of the settings
+	Head     string // shared settings of all gateways: classes, plans, rules
+	Gateway  string // further arguments of gateway()
+	Last     string // calls that follow the volumes
+	More     string // further calls: times, bounds, state; %s is replaced by the gateway's name
 }
 
-// Volume is one volume of a fleet. Its extents are of one size and lie on the cells in turn.
+// Volume is one volume of a fleet. All its extents have the same size, one for each entry of Cells.
 type Volume struct {
 	Name    string
 	Plan    string
 	Cells   []int
-	Extent  int64
-	Mirrors [][]int // for each extent, the cells of its further copies; none where empty
-	Through []int   // gateways
+	Extent  int64   // size of an extent, in bytes
+	Mirrors [][]int // for each extent, the cells of its further copies; empty means no further copies
+	Through []int   // indexes of the gateways that serve the volume
 	Table   string  // name of a table in Head
 	More    string  // further arguments of volume()
 }
 
-func (v *Volume) mirrors(extent int) []int {
+func (v *Volume) mirrorCells(extent int) []int {
 	if len(v.Mirrors) == 0 {
 		return nil
 	}
 	return v.Mirrors[extent]
 }
 
-// Size is the volume's bytes.
+// Size returns the size of the volume in bytes.
 func (v *Volume) Size() int64 { return v.Extent * int64(len(v.Cells)) }
 
-// Fleet is nodes that are up, and settings on disk.
+// Fleet is a set of running nodes, with the settings of their gateways on disk.
 type Fleet struct {
 	Dir         string
 	Nodes       []*standin.Node
-	Directories []*standin.Directory // one for each zone with a gateway
-	Settings    []string             // a file for each gateway
+	Directories []*standin.Directory // one for each zone that has a gateway
+	Settings    []string             // path of the settings file of each gateway
 	Shape       Shape
 
-	zones []int // of the directories
-	links map[[2]int]*standin.Link
-	over  map[[2]int]string // zone and node: address over the link
+	directoryZones []int // the zones that have a gateway, in the order of Directories
+	links          map[[2]int]*standin.Link
+	linkAddresses  map[[2]int]string // by zone of the gateway and node: the address through the link
 }
 
-// New starts the nodes and writes the settings to dir.
+// New starts the nodes and directories and writes the gateways' settings to dir.
 func New(dir string, shape Shape) (f *Fleet, err error) {
 	f = &Fleet{Dir: dir, Shape: shape}
 	defer func() {
@@ -73,38 +73,38 @@
 			f.Close()
 		}
 	}()
-	spaces := make([]map[uint32]int64, shape.Nodes)
-	for i := range spaces {
-		spaces[i] = map[uint32]int64{}
+	namespaces := make([]map[uint32]int64, shape.Nodes)
+	for i := range namespaces {
+		namespaces[i] = map[uint32]int64{}
 	}
 	for i, v := range shape.Volumes {
 		for j, cell := range v.Cells {
-			spaces[cell][uint32(i+1)] += v.Extent
-			for _, cell := range v.mirrors(j) {
-				spaces[cell][uint32(i+1)] += v.Extent
+			namespaces[cell][uint32(i+1)] += v.Extent
+			for _, cell := range v.mirrorCells(j) {
+				namespaces[cell][uint32(i+1)] += v.Extent
 			}
 		}
 	}
 	for i := range shape.Nodes {
 		cfg := shape.Node
 		cfg.NQN = fmt.Sprintf("nqn.2026-12.example.standin:node%d", i)
-		cfg.Namespaces, cfg.Seed = spaces[i], cfg.Seed+uint64(i)
+		cfg.Namespaces, cfg.Seed = namespaces[i], cfg.Seed+uint64(i)
 		n := standin.NewNode(cfg)
 		if err := n.Up(true); err != nil {
 			return f, err
 		}
 		f.Nodes = append(f.Nodes, n)
 	}
-	f.links, f.over = map[[2]int]*standin.Link{}, map[[2]int]string{}
+	f.links, f.linkAddresses = map[[2]int]*standin.Link{}, map[[2]int]string{}
 	for g := range shape.Gateways {
 		zone := f.gatewayZone(g)
-		if slices.Contains(f.zones, zone) {
+		if slices.Contains(f.directoryZones, zone) {
 			continue
 		}
-		f.zones = append(f.zones, zone)
+		f.directoryZones = append(f.directoryZones, zone)
 		for i, n := range f.Nodes {
 			if shape.Links && shape.Zones[i] != zone {
-				if f.over[[2]int{zone, i}], err = f.Link(zone, shape.Zones[i]).Relay(n.Address); err != nil {
+				if f.linkAddresses[[2]int{zone, i}], err = f.Link(zone, shape.Zones[i]).Relay(n.Address); err != nil {
 					return f, err
 				}
 			}
@@ -122,7 +122,7 @@
 	}
 	for g := range shape.Gateways {
 		path := filepath.Join(dir, fmt.Sprintf("gw%d.star", g))
-		if err := os.WriteFile(path, []byte(f.settings(g)), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(f.settingsScript(g)), 0o644); err != nil {
 			return f, err
 		}
 		f.Settings = append(f.Settings, path)
@@ -137,7 +137,7 @@
 	return 0
 }
 
-// Link is the link by which gateways of one zone reach nodes of another.
+// Link returns the link by which gateways in zone from reach nodes in zone to, and creates it if necessary.
 func (f *Fleet) Link(from, to int) *standin.Link {
 	k := [2]int{from, to}
 	if f.links[k] == nil {
@@ -146,28 +146,28 @@
 	return f.links[k]
 }
 
-// address is where gateways of a zone reach a node.
+// address returns the address at which gateways in a zone reach a node.
 func (f *Fleet) address(zone, node int) string {
-	if a, ok := f.over[[2]int{zone, node}]; ok {
+	if a, ok := f.linkAddresses[[2]int{zone, node}]; ok {
 		return a
 	}
 	return f.Nodes[node].Address()
 }
 
-// List has the directories name the nodes that are there.
-func (f *Fleet) List(there func(node int) bool) {
+// List makes the directories list the nodes for which listed returns true.
+func (f *Fleet) List(listed func(node int) bool) {
 	for i, d := range f.Directories {
 		var entries []standin.Entry
 		for j, n := range f.Nodes {
-			if there(j) {
-				entries = append(entries, standin.Entry{NQN: n.NQN(), Address: f.address(f.zones[i], j)})
+			if listed(j) {
+				entries = append(entries, standin.Entry{NQN: n.NQN(), Address: f.address(f.directoryZones[i], j)})
 			}
 		}
 		d.SetEntries(entries)
 	}
 }
 
-func (f *Fleet) settings(g int) string {
+func (f *Fleet) settingsScript(g int) string {
 	var b strings.Builder
 	s := &f.Shape
 	b.WriteString(s.Head)
@@ -180,7 +180,7 @@
 	fmt.Fprintf(&b, "gateway(name = \"gw%d\", hosts = %d, number = %d%s%s)\n", g, s.Gateways, g, zone, s.Gateway)
 	b.WriteString(strings.ReplaceAll(s.More, "%s", fmt.Sprintf("gw%d", g)))
 	if s.Listed {
-		fmt.Fprintf(&b, "directory(address = %q)\n", f.Directories[slices.Index(f.zones, f.gatewayZone(g))].Address())
+		fmt.Fprintf(&b, "directory(address = %q)\n", f.Directories[slices.Index(f.directoryZones, f.gatewayZone(g))].Address())
 	}
 	for i, n := range f.Nodes {
 		address := ""
@@ -202,15 +202,15 @@
 		}
 		fmt.Fprintf(&b, "volume(id = %d, name = %q, plan = %q, gateways = %d, %stable = %s,%s extents = [\n", i+1, v.Name, v.Plan,
 			max(len(v.Through), 1), socket, v.Table, v.More)
-		at := map[int]int64{}
+		allocated := map[int]int64{}
 		for j, cell := range v.Cells {
-			place := func(cell int) string {
-				at[cell] += v.Extent
-				return fmt.Sprintf("cell = %d, namespace = %d, base = B(%d)", cell, i+1, at[cell]-v.Extent)
+			allocate := func(cell int) string {
+				allocated[cell] += v.Extent
+				return fmt.Sprintf("cell = %d, namespace = %d, base = B(%d)", cell, i+1, allocated[cell]-v.Extent)
 			}
-			fmt.Fprintf(&b, "    dict(size = B(%d), %s, mirrors = [", v.Extent, place(cell))
-			for _, cell := range v.mirrors(j) {
-				fmt.Fprintf(&b, "dict(%s), ", place(cell))
+			fmt.Fprintf(&b, "    dict(size = B(%d), %s, mirrors = [", v.Extent, allocate(cell))
+			for _, cell := range v.mirrorCells(j) {
+				fmt.Fprintf(&b, "dict(%s), ", allocate(cell))
 			}
 			b.WriteString("]),\n")
 		}
@@ -224,22 +224,22 @@
 	return fmt.Sprintf("gw%d-%s.sock", g, volume)
 }
 
-// Socket is the path of a volume's socket at a gateway.
+// Socket returns the path of a volume's socket at a gateway.
 func (f *Fleet) Socket(g int, volume string) string {
 	return filepath.Join(f.Dir, f.socketName(g, volume))
 }
 
-// Dial connects a client to a volume, waiting a while for the socket to be there.
+// Dial connects a client to a volume at a gateway. It retries until wait has passed, as the socket may not exist yet.
 func (f *Fleet) Dial(g int, volume string, cfg standin.ClientConfig, wait time.Duration) (*standin.Client, error) {
-	for limit := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
 		c, err := standin.Dial(f.Socket(g, volume), cfg)
-		if err == nil || time.Now().After(limit) {
+		if err == nil || time.Now().After(deadline) {
 			return c, err
 		}
 	}
 }
 
-// Close ends all nodes and the directory.
+// Close stops all directories, links and nodes.
 func (f *Fleet) Close() error {
 	for _, d := range f.Directories {
 		d.Close()
@@ -253,35 +253,35 @@
 	return nil
 }
 
-// Place is where a copy of a byte of a volume lies.
+// Place is the location of one copy of a byte of a volume.
 type Place struct {
 	Node      int
 	Namespace uint32
 	Offset    int64
 }
 
-// Where finds the first copy of a byte of a volume.
+// Where returns the location of the first copy of the byte at an offset of a volume.
 func (f *Fleet) Where(volume int, at int64) (node int, ns uint32, off int64) {
 	p := f.Copies(volume, at)[0]
 	return p.Node, p.Namespace, p.Offset
 }
 
-// Copies finds all copies of a byte of a volume.
-func (f *Fleet) Copies(volume int, at int64) (out []Place) {
+// Copies returns the locations of all copies of the byte at an offset of a volume.
+func (f *Fleet) Copies(volume int, at int64) (places []Place) {
 	v := &f.Shape.Volumes[volume]
 	base := map[int]int64{}
 	for i, cell := range v.Cells {
-		for _, cell := range append([]int{cell}, v.mirrors(i)...) {
+		for _, cell := range append([]int{cell}, v.mirrorCells(i)...) {
 			if int64(i) == at/v.Extent {
-				out = append(out, Place{cell, uint32(volume + 1), base[cell] + at%v.Extent})
+				places = append(places, Place{cell, uint32(volume + 1), base[cell] + at%v.Extent})
 			}
 			base[cell] += v.Extent
 		}
 	}
-	return out
+	return places
 }
 
-// Head is settings for a plain fleet: reads, writes and bulk reads, safe to repeat, and three plans.
+// Head holds settings for a plain fleet: classes for reads, writes and bulk reads, all safe to retry, and three plans.
 const Head = `
 class_(name = "read", aim = ms(250), deadline = s(2), worth = 2, late_share = 0.2)
 class_(name = "write", aim = ms(300), deadline = s(2), worth = 3, late_share = 0.2, in_order = True, writes = True)
@@ -294,19 +294,19 @@
     dict(kind = "discard", class_ = "write"), dict(kind = "write_zeroes", class_ = "write")]
 `
 
-var errTime = errors.New("fleet: not in time")
+var errTimeout = errors.New("fleet: condition not met in time")
 
-// Eventually waits until ok, or gives an error once the time is over.
-func Eventually(limit time.Duration, ok func() bool) error {
-	for end := time.Now().Add(limit); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			return errTime
+// Eventually polls until condition returns true, or returns an error after timeout.
+func Eventually(timeout time.Duration, condition func() bool) error {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return errTimeout
 		}
 	}
 	return nil
 }
 
-// Fast is a node that answers at once, of whatever its MDTS.
+// Fast returns the configuration of a node that answers at once, whatever its MDTS.
 func Fast() standin.NodeConfig {
 	return standin.NodeConfig{WriteCache: true, InCapsule: 8192, Remember: 4 * time.Second}
 }
