--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -34,8 +34,8 @@
 	Fell     bool // the node went down under its load
 }
 
-// Told records that a gateway was notified at time At that a node drains or is gone, which held until time Until.
-type Told struct {
+// Notice records that a gateway was notified at time At that a node drains or is gone, which held until time Until.
+type Notice struct {
 	Gateway, Node int
 	At, Until     time.Time
 }
@@ -60,7 +60,7 @@
 	Hosts    []string // the gateways' host NQNs
 	Requests []*Request
 	Nodes    []Node // by cell
-	Told     []Told
+	Told     []Notice
 	Away     []Away
 	TipOver  float64 // load limit of a cold node, as a multiple of its capacity within TipTime; 0 turns the check off
 	TipTime  time.Duration
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -519,7 +519,7 @@
 
 // told joins what each source has told each gateway of each node to the times in which it was told to stay away. Told
 // ready by one source does not undo what the other has told.
-func (p *player) told(tellings []standin.Telling, listed int, end time.Time) (out []audit.Told) {
+func (p *player) told(tellings []standin.Telling, listed int, end time.Time) (out []audit.Notice) {
 	type key struct {
 		host, nqn string
 		directory bool
@@ -540,7 +540,7 @@
 			if l[i].Ready {
 				continue
 			}
-			t := audit.Told{Gateway: g, Node: node, At: l[i].At, Until: end}
+			t := audit.Notice{Gateway: g, Node: node, At: l[i].At, Until: end}
 			for i++; i < len(l); i++ {
 				if l[i].Ready {
 					t.Until = l[i].At
