--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -60,7 +60,7 @@
 	Hosts    []string // the gateways' host NQNs
 	Requests []*Request
 	Nodes    []Node // by cell
-	Told     []Notice
+	Notices  []Notice
 	Away     []Away
 	TipOver  float64 // load limit of a cold node, as a multiple of its capacity within TipTime; 0 turns the check off
 	TipTime  time.Duration
@@ -356,7 +356,7 @@
 // the notice that the node drains or is gone.
 func (a *auditor) checkDrains() {
 	grace := time.Duration(a.Config.Logic.Rules.StopSending)*time.Microsecond + a.Grace
-	for _, t := range a.Told {
+	for _, t := range a.Notices {
 		for i := range a.Nodes[t.Node].Commands {
 			c := &a.Nodes[t.Node].Commands[i]
 			if a.hosts[c.Host] != t.Gateway || !c.Received.After(t.At.Add(grace)) || !c.Received.Before(t.Until) || a.unavailableBetween(t.Gateway, t.At, c.Received) ||
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -478,7 +478,7 @@
 			a.Poor = append(a.Poor, poor)
 		}
 	}
-	a.Told = p.told(tellings, listed, end)
+	a.Notices = p.told(tellings, listed, end)
 	r.Findings = audit.Check(&a)
 	r.Moves = a.Moves
 	if n := p.book.strange; n > 0 {
