--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -40,8 +40,8 @@
 	At, Until     time.Time
 }
 
-// Away is an interval in which a gateway was stopped or dead.
-type Away struct {
+// Outage is an interval in which a gateway was stopped or dead.
+type Outage struct {
 	Gateway  int
 	From, To time.Time
 	Killed   bool
@@ -61,7 +61,7 @@
 	Requests []*Request
 	Nodes    []Node // by cell
 	Notices  []Notice
-	Away     []Away
+	Away     []Outage
 	TipOver  float64 // load limit of a cold node, as a multiple of its capacity within TipTime; 0 turns the check off
 	TipTime  time.Duration
 	// Grace allows for the time that passing the sockets of a loaded machine takes. It widens every check of a time.
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -70,7 +70,7 @@
 	surge    map[string]float64
 	listed   map[int]bool
 	eager    atomic.Bool
-	away     []audit.Away
+	away     []audit.Outage
 	now      []string // troubles at the moment
 	began    time.Time
 	errs     []error
@@ -398,7 +398,7 @@
 		var from time.Time
 		return func() { from = time.Now(); p.procs[e.Gateway].signal(syscall.SIGSTOP, false) }, func() {
 			p.procs[e.Gateway].signal(syscall.SIGCONT, false)
-			p.gone(audit.Away{Gateway: e.Gateway, From: from, To: time.Now().Add(200 * time.Millisecond)})
+			p.gone(audit.Outage{Gateway: e.Gateway, From: from, To: time.Now().Add(200 * time.Millisecond)})
 		}
 	case day.Takeover:
 		return func() {
@@ -413,7 +413,7 @@
 				p.fault(err)
 			}
 			// It is back once it lets clients in; what they put on their rings before that nobody has taken.
-			p.gone(audit.Away{Gateway: e.Gateway, From: from, To: p.reachable(e.Gateway).Add(200 * time.Millisecond), Killed: true})
+			p.gone(audit.Outage{Gateway: e.Gateway, From: from, To: p.reachable(e.Gateway).Add(200 * time.Millisecond), Killed: true})
 		}
 	}
 	return func() {}, nil
@@ -441,7 +441,7 @@
 
 func (p *player) fault(err error) { p.mu.Lock(); defer p.mu.Unlock(); p.errs = append(p.errs, err) }
 
-func (p *player) gone(a audit.Away) { p.mu.Lock(); defer p.mu.Unlock(); p.away = append(p.away, a) }
+func (p *player) gone(a audit.Outage) { p.mu.Lock(); defer p.mu.Unlock(); p.away = append(p.away, a) }
 
 // judge makes the report.
 func (p *player) judge(end time.Time) *Result {
