--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -61,7 +61,7 @@
 	Requests []*Request
 	Nodes    []Node // by cell
 	Notices  []Notice
-	Away     []Outage
+	Outages  []Outage
 	TipOver  float64 // load limit of a cold node, as a multiple of its capacity within TipTime; 0 turns the check off
 	TipTime  time.Duration
 	// Grace allows for the time that passing the sockets of a loaded machine takes. It widens every check of a time.
@@ -297,7 +297,7 @@
 
 // unavailableBetween reports whether a gateway was stopped or dead at some time between the two.
 func (a *auditor) unavailableBetween(gateway int, from, to time.Time) bool {
-	for _, w := range a.Away {
+	for _, w := range a.Outages {
 		if w.Gateway == gateway && w.From.Before(to) && w.To.After(from) {
 			return true
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -74,7 +74,7 @@
 		"client left":            {0, func(d *Day) { d.Requests[0].Answers, d.Requests[0].Left = 0, true }},
 		"two answers":            {1, func(d *Day) { d.Requests[1].Answers = 2 }},
 		"late answer":            {1, func(d *Day) { d.Requests[0].End = at(1100) }},
-		"late, gateway stopped":  {0, func(d *Day) { d.Requests[0].End = at(1100); d.Away = []Outage{{0, at(300), at(900), false}} }},
+		"late, gateway stopped":  {0, func(d *Day) { d.Requests[0].End = at(1100); d.Outages = []Outage{{0, at(300), at(900), false}} }},
 		"sent after the answer":  {1, func(d *Day) { d.addCommand(0, nvme.OpRead, 4096, 4096, 0, 90, 95) }},
 		"sent for nobody":        {1, func(d *Day) { d.addCommand(1, nvme.OpRead, 0, 512, 0, 90, 95) }},
 		"keyed ran twice":        {2, func(d *Day) { d.addCommand(0, nvme.OpWrite, 1<<20-4096, 4096, 8, 171, 180) }},
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -447,7 +447,7 @@
 func (p *player) judge(end time.Time) *Result {
 	c := &p.book.counts
 	r := &Result{Day: p.d.Name, Asked: p.book.asked.Load(), Served: c[0].Load(), Refused: c[1].Load(), Failed: c[2].Load(), Left: c[3].Load()}
-	a := audit.Day{Config: p.cfg, Requests: p.book.requests, Away: p.away, TipOver: tipOver, TipTime: tipTime, Grace: 250 * time.Millisecond}
+	a := audit.Day{Config: p.cfg, Requests: p.book.requests, Outages: p.away, TipOver: tipOver, TipTime: tipTime, Grace: 250 * time.Millisecond}
 	for g := range gateways {
 		a.Hosts = append(a.Hosts, fmt.Sprintf("nqn.2026-12.example.appleplank:gw%d", g))
 	}
