--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -47,8 +47,8 @@
 	Killed   bool
 }
 
-// Poor is an interval in which commands from a gateway to some nodes arrive late.
-type Poor struct {
+// PoorLink is an interval in which commands from a gateway to some nodes arrive late.
+type PoorLink struct {
 	Gateway  int
 	Nodes    []int
 	From, To time.Time
@@ -67,7 +67,7 @@
 	// Grace allows for the time that passing the sockets of a loaded machine takes. It widens every check of a time.
 	Grace time.Duration
 
-	Poor []Poor // intervals in which links between zones were slow or lossy
+	Poor []PoorLink // intervals in which links between zones were slow or lossy
 
 	Moves int // set by Check: commands in mirrored extents that bring a copy up to date and belong to no request
 }
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -469,7 +469,7 @@
 			if z != e.Zones[0] {
 				continue
 			}
-			poor := audit.Poor{Gateway: g, From: p.began.Add(e.At), To: p.began.Add(e.At + e.For + time.Second)}
+			poor := audit.PoorLink{Gateway: g, From: p.began.Add(e.At), To: p.began.Add(e.At + e.For + time.Second)}
 			for n, z := range nodeZones {
 				if z == e.Zones[1] {
 					poor.Nodes = append(poor.Nodes, n)
