--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -67,7 +67,7 @@
 	// Grace allows for the time that passing the sockets of a loaded machine takes. It widens every check of a time.
 	Grace time.Duration
 
-	Poor []PoorLink // intervals in which links between zones were slow or lossy
+	PoorLinks []PoorLink // intervals in which links between zones were slow or lossy
 
 	Moves int // set by Check: commands in mirrored extents that bring a copy up to date and belong to no request
 }
@@ -247,7 +247,7 @@
 
 // degradedBetween reports whether commands from a gateway to a node may have arrived late at some time between the two.
 func (a *auditor) degradedBetween(gateway, node int, from, to time.Time) bool {
-	for _, p := range a.Poor {
+	for _, p := range a.PoorLinks {
 		if p.Gateway == gateway && slices.Contains(p.Nodes, node) && p.From.Before(to) && p.To.After(from) {
 			return true
 		}
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -475,7 +475,7 @@
 					poor.Nodes = append(poor.Nodes, n)
 				}
 			}
-			a.Poor = append(a.Poor, poor)
+			a.PoorLinks = append(a.PoorLinks, poor)
 		}
 	}
 	a.Notices = p.told(tellings, listed, end)
