--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -25,7 +25,7 @@
 	Start, End      time.Time
 	Answers         int // number of answers received
 	Verdict         block.Verdict
-	Left            bool // the client or the gateway went away before an answer arrived
+	Abandoned       bool // the client or the gateway went away before an answer arrived
 }
 
 // Node is a node's record of the commands that it received.
@@ -218,7 +218,7 @@
 	}
 	p := a.pickFragment(byLocation[at], c)
 	// A read with no open request brings a copy up to date, even if a client has read the same bytes before.
-	if p != nil && extent != nil && kind == block.Read && !p.req.Left && p.req.Answers > 0 && c.Received.After(p.req.End.Add(a.Grace)) {
+	if p != nil && extent != nil && kind == block.Read && !p.req.Abandoned && p.req.Answers > 0 && c.Received.After(p.req.End.Add(a.Grace)) {
 		p = nil
 	}
 	if p == nil && extent != nil && (kind == block.Read || kind == block.Write) {
@@ -240,7 +240,7 @@
 	if extent != nil && kind.Changes() { // It is answered once enough copies hold it, and is then sent to the others.
 		end = p.req.Start.Add(time.Duration(a.class(p.req).Deadline) * time.Microsecond)
 	}
-	if !p.req.Left && p.req.Answers > 0 && c.Received.After(end.Add(a.Grace)) && !a.unavailableBetween(host, p.req.Start, c.Received) && !a.degradedBetween(host, cell, end, c.Received) {
+	if !p.req.Abandoned && p.req.Answers > 0 && c.Received.After(end.Add(a.Grace)) && !a.unavailableBetween(host, p.req.Start, c.Received) && !a.degradedBetween(host, cell, end, c.Received) {
 		a.report(1, c.Received, "%s was sent to node %d %v after its answer", p.req, cell, c.Received.Sub(p.req.End))
 	}
 }
@@ -288,7 +288,7 @@
 		if p.req.Start.After(c.Received) {
 			break
 		}
-		if found == nil || p.req.Left || p.req.End.Add(a.Grace).After(c.Received) {
+		if found == nil || p.req.Abandoned || p.req.End.Add(a.Grace).After(c.Received) {
 			found = p
 		}
 	}
@@ -308,7 +308,7 @@
 // checkAnswers checks rule 1: each request gets exactly one answer, in time.
 func (a *auditor) checkAnswers() {
 	for _, r := range a.Requests {
-		if r.Left {
+		if r.Abandoned {
 			continue
 		}
 		switch {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -71,7 +71,7 @@
 	}{
 		"clean":                  {0, func(*Day) {}},
 		"no answer":              {1, func(d *Day) { d.Requests[0].Answers = 0 }},
-		"client left":            {0, func(d *Day) { d.Requests[0].Answers, d.Requests[0].Left = 0, true }},
+		"client left":            {0, func(d *Day) { d.Requests[0].Answers, d.Requests[0].Abandoned = 0, true }},
 		"two answers":            {1, func(d *Day) { d.Requests[1].Answers = 2 }},
 		"late answer":            {1, func(d *Day) { d.Requests[0].End = at(1100) }},
 		"late, gateway stopped":  {0, func(d *Day) { d.Requests[0].End = at(1100); d.Outages = []Outage{{0, at(300), at(900), false}} }},
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -150,7 +150,7 @@
 	now := time.Now()
 	for r := range p.out {
 		if r.Answers == 0 {
-			r.Left, r.End = true, now
+			r.Abandoned, r.End = true, now
 			p.book.counts[3].Add(1)
 		}
 		delete(p.out, r)
