--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -260,8 +260,8 @@
 	Offset    int64
 }
 
-// Where returns the location of the first copy of the byte at an offset of a volume.
-func (f *Fleet) Where(volume int, at int64) (node int, ns uint32, off int64) {
+// FirstCopy returns the location of the first copy of the byte at an offset of a volume.
+func (f *Fleet) FirstCopy(volume int, at int64) (node int, ns uint32, off int64) {
 	p := f.Copies(volume, at)[0]
 	return p.Node, p.Namespace, p.Offset
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -109,11 +109,11 @@
 				t.Error("read differs from what was written")
 			}
 			stored := make([]byte, 512)
-			node, ns, off := f.Where(0, at)
+			node, ns, off := f.FirstCopy(0, at)
 			if f.Nodes[node].Read(ns, off, stored); !bytes.Equal(stored, data[:512]) {
 				t.Error("the first node does not hold the first bytes")
 			}
-			node, ns, off = f.Where(0, 4<<20)
+			node, ns, off = f.FirstCopy(0, 4<<20)
 			if f.Nodes[node].Read(ns, off, stored); node != 1 || !bytes.Equal(stored, data[300*1024:300*1024+512]) {
 				t.Errorf("node %d does not hold the bytes of the second extent", node)
 			}
