--- a/cmd/appleplank/main_test.go
+++ b/cmd/appleplank/main_test.go
@@ -34,7 +34,7 @@
 
 func oneNodeShape() fleet.Shape {
 	return fleet.Shape{Nodes: 1, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head,
-		Volumes: []fleet.Volume{{Name: "disk", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE"}}}
+		Volumes: []fleet.Volume{{Name: "disk", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Gateways: []int{0}, Table: "TABLE"}}}
 }
 
 // After SIGTERM the gateway answers the requests that it holds, accepts no new ones and exits with status 0. A second
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -75,9 +75,9 @@
 		for j := range 4 {
 			v.Cells = append(v.Cells, (i*3+j*2+j/2)%nodes)
 		}
-		v.Through = []int{i % gateways}
+		v.Gateways = []int{i % gateways}
 		if i%2 == 0 {
-			v.Through = append(v.Through, (i+1)%gateways)
+			v.Gateways = append(v.Gateways, (i+1)%gateways)
 		}
 		s.Volumes = append(s.Volumes, v)
 	}
@@ -87,7 +87,7 @@
 	s.Zones, s.At, s.Links, s.Node.Volatile = nodeZones, gatewayZones, true, true
 	s.More += "copies(class_ = \"copy\", plan = \"catch-up\", region = KiB(128))\n"
 	for g := range gateways { // all their data lies in the gateway's zone and in the other
-		v := fleet.Volume{Name: fmt.Sprint("mirror", g), Plan: "standard", Extent: 4 << 20, Table: "TABLE", Through: []int{g}}
+		v := fleet.Volume{Name: fmt.Sprint("mirror", g), Plan: "standard", Extent: 4 << 20, Table: "TABLE", Gateways: []int{g}}
 		for j := range 3 {
 			home := 2*((g+j)%4) + gatewayZones[g]
 			v.Cells, v.Mirrors = append(v.Cells, home), append(v.Mirrors, []int{home ^ 1})
@@ -276,7 +276,7 @@
 		h.Nodes = append(h.Nodes, HeldNode{i + 1, n.Address(), n.NQN()})
 	}
 	for _, v := range s.Shape.Volumes {
-		for _, g := range v.Through {
+		for _, g := range v.Gateways {
 			h.Sockets = append(h.Sockets, HeldSocket{g, v.Name, v.Size(), s.Socket(g, v.Name)})
 		}
 	}
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -172,12 +172,12 @@
 // hire makes the programs: a volume's load is split over its gateways unevenly, and so is the volume.
 func (p *player) hire() {
 	for i, v := range p.Shape.Volumes {
-		for j, g := range v.Through {
+		for j, g := range v.Gateways {
 			part := 1.0
-			if len(v.Through) == 2 {
+			if len(v.Gateways) == 2 {
 				part = [2]float64{0.7, 0.3}[j]
 			}
-			size := v.Size() / int64(len(v.Through))
+			size := v.Size() / int64(len(v.Gateways))
 			p.programs = append(p.programs, &program{
 				s: p.stage, cfg: p.cfg, book: p.book, volume: i, gateway: g, from: int64(j) * size, size: size, eager: &p.eager,
 				rng: rand.New(rand.NewPCG(p.o.Seed, uint64(i*16+g))), out: map[*audit.Request]bool{}, busy: map[int64]int{},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,14 +32,14 @@
 
 // Volume is one volume of a fleet. All its extents have the same size, one for each entry of Cells.
 type Volume struct {
-	Name    string
-	Plan    string
-	Cells   []int
-	Extent  int64   // size of an extent, in bytes
-	Mirrors [][]int // for each extent, the cells of its further copies; empty means no further copies
-	Through []int   // indexes of the gateways that serve the volume
-	Table   string  // name of a table in Head
-	More    string  // further arguments of volume()
+	Name     string
+	Plan     string
+	Cells    []int
+	Extent   int64   // size of an extent, in bytes
+	Mirrors  [][]int // for each extent, the cells of its further copies; empty means no further copies
+	Gateways []int   // indexes of the gateways that serve the volume
+	Table    string  // name of a table in Head
+	More     string  // further arguments of volume()
 }
 
 func (v *Volume) mirrorCells(extent int) []int {
@@ -195,13 +195,13 @@
 	}
 	for i, v := range s.Volumes {
 		socket := ""
-		for _, t := range v.Through {
+		for _, t := range v.Gateways {
 			if t == g {
 				socket = fmt.Sprintf("socket = %q, ", f.socketName(g, v.Name))
 			}
 		}
 		fmt.Fprintf(&b, "volume(id = %d, name = %q, plan = %q, gateways = %d, %stable = %s,%s extents = [\n", i+1, v.Name, v.Plan,
-			max(len(v.Through), 1), socket, v.Table, v.More)
+			max(len(v.Gateways), 1), socket, v.Table, v.More)
 		allocated := map[int]int64{}
 		for j, cell := range v.Cells {
 			allocate := func(cell int) string {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -67,7 +67,7 @@
 
 func singleVolume() fleet.Shape {
 	return fleet.Shape{Nodes: 2, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head,
-		Volumes: []fleet.Volume{{Name: "orders", Plan: "priority", Cells: []int{0, 1, 0}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE"}}}
+		Volumes: []fleet.Volume{{Name: "orders", Plan: "priority", Cells: []int{0, 1, 0}, Extent: 4 << 20, Gateways: []int{0}, Table: "TABLE"}}}
 }
 
 // TestWholePath checks the path from a driver to the nodes: data written is read back, across the boundaries of extents
@@ -151,8 +151,8 @@
 func TestMemoryBound(t *testing.T) {
 	s := fleet.Shape{Nodes: 2, Gateways: 1, Node: standin.NodeConfig{Base: time.Microsecond}, Head: fleet.Head, More: "bounds(request = KiB(512))\n",
 		Volumes: []fleet.Volume{
-			{Name: "full", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE", More: "memory = MiB(1),"},
-			{Name: "other", Plan: "priority", Cells: []int{1}, Extent: 4 << 20, Through: []int{0}, Table: "TABLE"}}}
+			{Name: "full", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Gateways: []int{0}, Table: "TABLE", More: "memory = MiB(1),"},
+			{Name: "other", Plan: "priority", Cells: []int{1}, Extent: 4 << 20, Gateways: []int{0}, Table: "TABLE"}}}
 	f, gws, stop := startFleet(t, s)
 	defer stop()
 	f.Nodes[0].Set(func(t *standin.Trouble) { t.Hang = true })
--- a/internal/gateway/lostzone_test.go
+++ b/internal/gateway/lostzone_test.go
@@ -51,7 +51,7 @@
 		s.More += "copies(class_ = \"copy\", plan = \"catch-up\", region = KiB(256))\n"
 	}
 	for g := range 2 {
-		v := fleet.Volume{Name: fmt.Sprint("v", g), Plan: "p", Extent: 4 << 20, Through: []int{g}, Table: "TABLE"}
+		v := fleet.Volume{Name: fmt.Sprint("v", g), Plan: "p", Extent: 4 << 20, Gateways: []int{g}, Table: "TABLE"}
 		for i := range 7 {
 			v.Cells = append(v.Cells, g*7+i)
 			if mirrors {
--- a/internal/gateway/mirror_test.go
+++ b/internal/gateway/mirror_test.go
@@ -320,7 +320,7 @@
 func TestMirrorOneGateway(t *testing.T) {
 	s := mirroredShape(1, "")
 	s.Gateways = 2
-	s.Volumes[0].Through = []int{0, 1}
+	s.Volumes[0].Gateways = []int{0, 1}
 	f, err := fleet.New(t.TempDir(), s)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/restart_bench_test.go
+++ b/internal/gateway/restart_bench_test.go
@@ -21,7 +21,7 @@
 	s := fleet.Shape{Nodes: 46, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head, More: "state(dir = \"kept\")\nbounds(io_queues = 1)\n"}
 	for i := range 400 {
 		s.Volumes = append(s.Volumes, fleet.Volume{Name: fmt.Sprint("v", i), Plan: "priority", Cells: []int{i % 46, (i + 7) % 46, (i + 19) % 46},
-			Extent: 64 << 10, Through: []int{0}, Table: "TABLE"})
+			Extent: 64 << 10, Gateways: []int{0}, Table: "TABLE"})
 	}
 	f, err := fleet.New(b.TempDir(), s)
 	if err != nil {
@@ -76,7 +76,7 @@
 		for _, how := range []string{"goes on", "with state", "without"} {
 			s := fleet.Shape{Nodes: 14, Gateways: 1, Head: fleet.Head, More: "state(dir = \"kept\", every = ms(100))\n",
 				Node: standin.NodeConfig{Base: 6 * time.Millisecond, WriteCache: true, InCapsule: 8192}}
-			v := fleet.Volume{Name: "disk", Plan: "priority", Extent: 1 << 20, Through: []int{0}, Table: "TABLE"}
+			v := fleet.Volume{Name: "disk", Plan: "priority", Extent: 1 << 20, Gateways: []int{0}, Table: "TABLE"}
 			for i := range 14 {
 				v.Cells = append(v.Cells, i)
 			}
