--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,18 +16,18 @@
 
 // Shape describes a fleet.
 type Shape struct {
-	Nodes    int
-	Gateways int
-	Node     standin.NodeConfig // of every node; New sets its NQN and namespaces and adds its index to the seed
-	Volumes  []Volume
-	Zones    []int  // zone of each node; left out of the settings if empty
-	At       []int  // zone of each gateway; all 0 if only Zones is given
-	Links    bool   // gateways reach nodes of other zones over links that can be cut; see Link
-	Listed   bool   // the nodes are listed by a directory instead of the settings
-	Head     string // shared settings of all gateways: classes, plans, rules
-	Gateway  string // further arguments of gateway()
-	Last     string // calls that follow the volumes
-	More     string // further calls: times, bounds, state; %s is replaced by the gateway's name
+	Nodes        int
+	Gateways     int
+	Node         standin.NodeConfig // of every node; New sets its NQN and namespaces and adds its index to the seed
+	Volumes      []Volume
+	Zones        []int  // zone of each node; left out of the settings if empty
+	GatewayZones []int  // zone of each gateway; all 0 if only Zones is given
+	Links        bool   // gateways reach nodes of other zones over links that can be cut; see Link
+	Listed       bool   // the nodes are listed by a directory instead of the settings
+	Head         string // shared settings of all gateways: classes, plans, rules
+	Gateway      string // further arguments of gateway()
+	Last         string // calls that follow the volumes
+	More         string // further calls: times, bounds, state; %s is replaced by the gateway's name
 }
 
 // Volume is one volume of a fleet. All its extents have the same size, one for each entry of Cells.
@@ -131,8 +131,8 @@
 }
 
 func (f *Fleet) gatewayZone(g int) int {
-	if len(f.Shape.At) > 0 {
-		return f.Shape.At[g]
+	if len(f.Shape.GatewayZones) > 0 {
+		return f.Shape.GatewayZones[g]
 	}
 	return 0
 }
@@ -172,8 +172,8 @@
 	s := &f.Shape
 	b.WriteString(s.Head)
 	zone := ""
-	if len(s.At) > 0 {
-		zone = fmt.Sprintf(", zone = %d", s.At[g])
+	if len(s.GatewayZones) > 0 {
+		zone = fmt.Sprintf(", zone = %d", s.GatewayZones[g])
 	} else if len(s.Zones) > 0 {
 		zone = ", zone = 0"
 	}
--- a/internal/gateway/lostzone_test.go
+++ b/internal/gateway/lostzone_test.go
@@ -42,7 +42,7 @@
 // of each class's requests served in time while the nodes were away, and the bytes that crossed zones by class; most is
 // the maximum of bytes that all gateways together sent across zones in a second.
 func measureLostZone(b *testing.B, seed uint64, budget string, mirrors bool) (service [3]float64, crossed map[int]int64, most float64) {
-	s := fleet.Shape{Nodes: 14, Gateways: 2, At: []int{0, 1}, Links: true, Listed: true, Head: lostZoneSettings,
+	s := fleet.Shape{Nodes: 14, Gateways: 2, GatewayZones: []int{0, 1}, Links: true, Listed: true, Head: lostZoneSettings,
 		Gateway: ", unit_mean = 1.2, unit_top = 4, max_attempts = 4",
 		More:    "state(dir = \"kept-%s\")\n" + budget,
 		Node: standin.NodeConfig{Cores: 2, Base: 8 * time.Millisecond, PerKiB: 60 * time.Microsecond, QueueMost: 64, ColdFrom: 0.2, ColdTime: 3 * time.Second,
