--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -84,7 +84,7 @@
 	if !zoned {
 		return s
 	}
-	s.Zones, s.GatewayZones, s.Links, s.Node.Volatile = nodeZones, gatewayZones, true, true
+	s.NodeZones, s.GatewayZones, s.Links, s.Node.Volatile = nodeZones, gatewayZones, true, true
 	s.More += "copies(class_ = \"copy\", plan = \"catch-up\", region = KiB(128))\n"
 	for g := range gateways { // all their data lies in the gateway's zone and in the other
 		v := fleet.Volume{Name: fmt.Sprint("mirror", g), Plan: "standard", Extent: 4 << 20, Table: "TABLE", Gateways: []int{g}}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,7 +20,7 @@
 	Gateways     int
 	Node         standin.NodeConfig // of every node; New sets its NQN and namespaces and adds its index to the seed
 	Volumes      []Volume
-	Zones        []int  // zone of each node; left out of the settings if empty
+	NodeZones    []int  // zone of each node; left out of the settings if empty
 	GatewayZones []int  // zone of each gateway; all 0 if only Zones is given
 	Links        bool   // gateways reach nodes of other zones over links that can be cut; see Link
 	Listed       bool   // the nodes are listed by a directory instead of the settings
@@ -103,8 +103,8 @@
 		}
 		f.directoryZones = append(f.directoryZones, zone)
 		for i, n := range f.Nodes {
-			if shape.Links && shape.Zones[i] != zone {
-				if f.linkAddresses[[2]int{zone, i}], err = f.Link(zone, shape.Zones[i]).Relay(n.Address); err != nil {
+			if shape.Links && shape.NodeZones[i] != zone {
+				if f.linkAddresses[[2]int{zone, i}], err = f.Link(zone, shape.NodeZones[i]).Relay(n.Address); err != nil {
 					return f, err
 				}
 			}
@@ -174,7 +174,7 @@
 	zone := ""
 	if len(s.GatewayZones) > 0 {
 		zone = fmt.Sprintf(", zone = %d", s.GatewayZones[g])
-	} else if len(s.Zones) > 0 {
+	} else if len(s.NodeZones) > 0 {
 		zone = ", zone = 0"
 	}
 	fmt.Fprintf(&b, "gateway(name = \"gw%d\", hosts = %d, number = %d%s%s)\n", g, s.Gateways, g, zone, s.Gateway)
@@ -188,8 +188,8 @@
 			address = fmt.Sprintf("address = %q, ", f.address(f.gatewayZone(g), i))
 		}
 		zone := ""
-		if len(s.Zones) > 0 {
-			zone = fmt.Sprintf("zone = %d, ", s.Zones[i])
+		if len(s.NodeZones) > 0 {
+			zone = fmt.Sprintf("zone = %d, ", s.NodeZones[i])
 		}
 		fmt.Fprintf(&b, "node(id = %d, cell = %d, %s%snqn = %q)\n", i+1, i, zone, address, n.NQN())
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -17,7 +17,7 @@
 // zones.
 func zonesShape(budget string) fleet.Shape {
 	s := singleVolume()
-	s.Nodes, s.Zones = 3, []int{0, 1, 1}
+	s.Nodes, s.NodeZones = 3, []int{0, 1, 1}
 	s.Head = strings.Replace(fleet.Head, "worth = 3", "worth = 3, bends = True", 1)
 	s.Volumes[0].Cells = []int{0, 1, 2}
 	s.Volumes[0].Extent = 4 << 20
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -15,7 +15,7 @@
 func TestLimitHoldsAfterALinkHeldReads(t *testing.T) {
 	const rate, burst, slack, jitter = 20.0, 20.0, 2.0, 0.1
 	s := singleVolume()
-	s.Links, s.Zones = true, []int{0, 1}
+	s.Links, s.NodeZones = true, []int{0, 1}
 	s.Node.Record = true
 	s.Head = strings.NewReplacer("limit = 120, limit_burst = 60, limit_slack = 12", "limit = 20, limit_burst = 20, limit_slack = 2",
 		"aim = ms(250), deadline = s(2)", "aim = s(4), deadline = s(4)").Replace(fleet.Head)
--- a/internal/gateway/lostzone_test.go
+++ b/internal/gateway/lostzone_test.go
@@ -61,7 +61,7 @@
 		s.Volumes = append(s.Volumes, v)
 	}
 	for i := range 14 {
-		s.Zones = append(s.Zones, i/7)
+		s.NodeZones = append(s.NodeZones, i/7)
 	}
 	f, gws, stop := startFleet(b, s)
 	defer stop()
--- a/internal/gateway/mirror_test.go
+++ b/internal/gateway/mirror_test.go
@@ -21,7 +21,7 @@
 // mirroredShape is a fleet with a copy of all data in each of two zones and the gateway in zone 0.
 func mirroredShape(hold int, more string) fleet.Shape {
 	s := singleVolume()
-	s.Nodes, s.Zones = 4, []int{0, 0, 1, 1}
+	s.Nodes, s.NodeZones = 4, []int{0, 0, 1, 1}
 	s.Node = fleet.Fast()
 	s.Node.Volatile = true
 	s.Head = fleet.Head + `
