--- a/cmd/appleplank/main_test.go
+++ b/cmd/appleplank/main_test.go
@@ -33,7 +33,7 @@
 }
 
 func oneNodeShape() fleet.Shape {
-	return fleet.Shape{Nodes: 1, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head,
+	return fleet.Shape{Nodes: 1, Gateways: 1, Node: fleet.FastNode(), Head: fleet.Head,
 		Volumes: []fleet.Volume{{Name: "disk", Plan: "priority", Cells: []int{0}, Extent: 4 << 20, Gateways: []int{0}, Table: "TABLE"}}}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// Fast returns the configuration of a node that answers at once, whatever its MDTS.
-func Fast() standin.NodeConfig {
+// FastNode returns the configuration of a node that answers at once, whatever its MDTS.
+func FastNode() standin.NodeConfig {
 	return standin.NodeConfig{WriteCache: true, InCapsule: 8192, Remember: 4 * time.Second}
 }
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -28,7 +28,7 @@
 // TestCrossedBytes checks that the ledger, the connections' counters and the nodes' counters agree to the byte, and
 // that the ledger is restored after a restart.
 func TestCrossedBytes(t *testing.T) {
-	for name, cfg := range map[string]standin.NodeConfig{"in capsule": fleet.Fast(), "by transfers, digests": {Digests: true, Align: 32, Plain: true}} {
+	for name, cfg := range map[string]standin.NodeConfig{"in capsule": fleet.FastNode(), "by transfers, digests": {Digests: true, Align: 32, Plain: true}} {
 		t.Run(name, func(t *testing.T) {
 			s := zonesShape("bounds(digests = True)\n")
 			s.Node = cfg
@@ -96,7 +96,7 @@
 // count them, stay within rate, burst and the overhead of the connections.
 func TestCrossingBudget(t *testing.T) {
 	s := zonesShape("crossing(rate = KiB(512), burst = KiB(512), hold_back = 0.3)\n")
-	s.Node = fleet.Fast()
+	s.Node = fleet.FastNode()
 	f, gws, stop := startFleet(t, s)
 	defer stop()
 	time.Sleep(1100 * time.Millisecond) // without a restored budget a gateway starts with an empty one
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -66,7 +66,7 @@
 }
 
 func singleVolume() fleet.Shape {
-	return fleet.Shape{Nodes: 2, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head,
+	return fleet.Shape{Nodes: 2, Gateways: 1, Node: fleet.FastNode(), Head: fleet.Head,
 		Volumes: []fleet.Volume{{Name: "orders", Plan: "priority", Cells: []int{0, 1, 0}, Extent: 4 << 20, Gateways: []int{0}, Table: "TABLE"}}}
 }
 
--- a/internal/gateway/mirror_test.go
+++ b/internal/gateway/mirror_test.go
@@ -22,7 +22,7 @@
 func mirroredShape(hold int, more string) fleet.Shape {
 	s := singleVolume()
 	s.Nodes, s.NodeZones = 4, []int{0, 0, 1, 1}
-	s.Node = fleet.Fast()
+	s.Node = fleet.FastNode()
 	s.Node.Volatile = true
 	s.Head = fleet.Head + `
 class_(name = "copy", aim = s(1), deadline = s(4), worth = 0.1, late_share = 0.5, in_order = True, writes = True)
--- a/internal/gateway/restart_bench_test.go
+++ b/internal/gateway/restart_bench_test.go
@@ -18,7 +18,7 @@
 // BenchmarkStart measures the time from the start of a gateway with a saved state of 46 nodes and 400 volumes to its
 // first answer.
 func BenchmarkStart(b *testing.B) {
-	s := fleet.Shape{Nodes: 46, Gateways: 1, Node: fleet.Fast(), Head: fleet.Head, More: "state(dir = \"kept\")\nbounds(io_queues = 1)\n"}
+	s := fleet.Shape{Nodes: 46, Gateways: 1, Node: fleet.FastNode(), Head: fleet.Head, More: "state(dir = \"kept\")\nbounds(io_queues = 1)\n"}
 	for i := range 400 {
 		s.Volumes = append(s.Volumes, fleet.Volume{Name: fmt.Sprint("v", i), Plan: "priority", Cells: []int{i % 46, (i + 7) % 46, (i + 19) % 46},
 			Extent: 64 << 10, Gateways: []int{0}, Table: "TABLE"})
