--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -55,7 +55,7 @@
 	Clients int
 	Plan    string
 	Times   float64
-	Part    float64
+	Share   float64
 	By      time.Duration
 	Bytes   int
 	Zones   [2]int        // the zone of the gateways and that of the nodes
@@ -79,7 +79,7 @@
 	case Burst, Slow:
 		s += fmt.Sprintf(" times %v", e.Times)
 	case Lose, Twice, WrongID, Fail:
-		s += fmt.Sprintf(" part %v", e.Part)
+		s += fmt.Sprintf(" part %v", e.Share)
 	}
 	if e.For > 0 {
 		s += fmt.Sprintf(" for %v", e.For)
@@ -148,8 +148,8 @@
 		}
 	}
 	share := func(f *script.Form, e *Event) {
-		if e.Part = f.Number("part", script.Required); e.Part > 1 {
-			f.AddProblem("part", "%v is over 1", e.Part)
+		if e.Share = f.Number("part", script.Required); e.Share > 1 {
+			f.AddProblem("part", "%v is over 1", e.Share)
 		}
 	}
 	gateway := func(f *script.Form, e *Event) {
@@ -194,8 +194,8 @@
 	}
 	register(Link, combine(lasting, zones, func(f *script.Form, e *Event) {
 		e.By, e.Jitter = microseconds(f.Duration("delay", 0)), microseconds(f.Duration("jitter", 0))
-		if e.Part = f.Number("loss", 0); e.Part > 1 {
-			f.AddProblem("loss", "%v is over 1", e.Part)
+		if e.Share = f.Number("loss", 0); e.Share > 1 {
+			f.AddProblem("loss", "%v is over 1", e.Share)
 		}
 		e.Bytes = int(f.Size("bandwidth", 0))
 	}))
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -305,13 +305,13 @@
 	case day.Hang:
 		return set(func(t *standin.Trouble) { t.Hang = true }, func(t *standin.Trouble) { t.Hang = false })
 	case day.Lose:
-		return set(func(t *standin.Trouble) { t.Lose = e.Part }, func(t *standin.Trouble) { t.Lose = 0 })
+		return set(func(t *standin.Trouble) { t.Lose = e.Share }, func(t *standin.Trouble) { t.Lose = 0 })
 	case day.Twice:
-		return set(func(t *standin.Trouble) { t.Twice = e.Part }, func(t *standin.Trouble) { t.Twice = 0 })
+		return set(func(t *standin.Trouble) { t.Twice = e.Share }, func(t *standin.Trouble) { t.Twice = 0 })
 	case day.WrongID:
-		return set(func(t *standin.Trouble) { t.Wrong = e.Part }, func(t *standin.Trouble) { t.Wrong = 0 })
+		return set(func(t *standin.Trouble) { t.Wrong = e.Share }, func(t *standin.Trouble) { t.Wrong = 0 })
 	case day.Fail:
-		return set(func(t *standin.Trouble) { t.Fail = e.Part }, func(t *standin.Trouble) { t.Fail = 0 })
+		return set(func(t *standin.Trouble) { t.Fail = e.Share }, func(t *standin.Trouble) { t.Fail = 0 })
 	case day.Full:
 		return set(func(t *standin.Trouble) { t.Full = true }, func(t *standin.Trouble) { t.Full = false })
 	case day.LateReports:
@@ -349,7 +349,7 @@
 	case day.Link:
 		l := p.Link(e.Zones[0], e.Zones[1])
 		return func() {
-				l.Set(func(s *standin.LinkState) { s.Delay, s.Jitter, s.Loss, s.Bandwidth = e.By, e.Jitter, e.Part, e.Bytes })
+				l.Set(func(s *standin.LinkState) { s.Delay, s.Jitter, s.Loss, s.Bandwidth = e.By, e.Jitter, e.Share, e.Bytes })
 			}, func() {
 				l.Set(func(s *standin.LinkState) { s.Delay, s.Jitter, s.Loss, s.Bandwidth = 0, 0, 0, 0 })
 			}
