--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -54,7 +54,7 @@
 	Gateway int
 	Clients int
 	Plan    string
-	Times   float64
+	Factor  float64
 	Share   float64
 	By      time.Duration
 	Bytes   int
@@ -75,9 +75,9 @@
 	case Link, Cut:
 		s += fmt.Sprintf(" from zone %d to %d", e.Zones[0], e.Zones[1])
 	case Surge:
-		s += fmt.Sprintf(" plan %s times %v", e.Plan, e.Times)
+		s += fmt.Sprintf(" plan %s times %v", e.Plan, e.Factor)
 	case Burst, Slow:
-		s += fmt.Sprintf(" times %v", e.Times)
+		s += fmt.Sprintf(" times %v", e.Factor)
 	case Lose, Twice, WrongID, Fail:
 		s += fmt.Sprintf(" part %v", e.Share)
 	}
@@ -143,8 +143,8 @@
 	lasting := func(f *script.Form, e *Event) { e.For = microseconds(f.Duration("lasting", script.Required)) }
 	nodes := func(f *script.Form, e *Event) { e.Nodes = f.Ints("nodes", true, 0, int64(shape.Nodes)-1) }
 	factor := func(f *script.Form, e *Event) {
-		if e.Times = f.Number("times", script.Required); e.Times > 1000 {
-			f.AddProblem("times", "%v is over 1000", e.Times)
+		if e.Factor = f.Number("times", script.Required); e.Factor > 1000 {
+			f.AddProblem("times", "%v is over 1000", e.Factor)
 		}
 	}
 	share := func(f *script.Form, e *Event) {
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -42,7 +42,7 @@
 	}
 	head := "day(name = 'x', length = s(10), rate = 100)\n"
 	d, err := read(head + "drain(at = s(2), lasting = s(1), nodes = [1])\nslow(at = s(1), lasting = s(1), nodes = [1, 2], times = 6)\n")
-	if err != nil || len(d.Events) != 2 || d.Events[0].Kind != Slow || d.Events[0].Times != 6 || d.Events[1].At != 2*time.Second {
+	if err != nil || len(d.Events) != 2 || d.Events[0].Kind != Slow || d.Events[0].Factor != 6 || d.Events[1].At != 2*time.Second {
 		t.Errorf("%+v, %v", d, err)
 	}
 	for text, want := range map[string]string{
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -297,11 +297,11 @@
 	}
 	switch e.Kind {
 	case day.Burst:
-		return load(func() { p.times *= e.Times }), load(func() { p.times /= e.Times })
+		return load(func() { p.times *= e.Factor }), load(func() { p.times /= e.Factor })
 	case day.Surge:
-		return load(func() { p.surge[e.Plan] = e.Times }), load(func() { delete(p.surge, e.Plan) })
+		return load(func() { p.surge[e.Plan] = e.Factor }), load(func() { delete(p.surge, e.Plan) })
 	case day.Slow:
-		return set(func(t *standin.Trouble) { t.Slow = e.Times }, func(t *standin.Trouble) { t.Slow = 0 })
+		return set(func(t *standin.Trouble) { t.Slow = e.Factor }, func(t *standin.Trouble) { t.Slow = 0 })
 	case day.Hang:
 		return set(func(t *standin.Trouble) { t.Hang = true }, func(t *standin.Trouble) { t.Hang = false })
 	case day.Lose:
