--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -156,7 +156,7 @@
 		d.addRequest(block.Write, 8192, 4096, 21, 0, 20)
 		d.addRequest(block.Write, 8192, 4096, 22, 5, 60)
 		d.addCommand(0, nvme.OpWrite, 8192, 4096, 21, 1, 10)
-		d.addCommand(1, nvme.OpWrite, 8192, 4096, 21, 1, 50).Namespace = 9 // after its answer, and after the next one at copy 0
+		d.addCommand(1, nvme.OpWrite, 8192, 4096, 21, 1, 50).Namespace = 9 // after its answer and the next at copy 0
 		d.addCommand(0, nvme.OpWrite, 8192, 4096, 22, 11, 20)
 		d.addCommand(1, nvme.OpWrite, 8192, 4096, 22, 51, 60).Namespace = 9
 		return d
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -19,14 +19,14 @@
 
 // The kinds of faults, under the names of their functions in a script.
 const (
-	Burst       Kind = "burst"        // the whole load is multiplied by Times
-	Surge       Kind = "surge"        // the load of one plan's volumes is multiplied by Times
-	Slow        Kind = "slow"         // nodes take Times as long
+	Burst       Kind = "burst"        // the whole load is multiplied by Factor
+	Surge       Kind = "surge"        // the load of one plan's volumes is multiplied by Factor
+	Slow        Kind = "slow"         // nodes take Factor times as long
 	Hang        Kind = "hang"         // nodes accept commands but process none
-	Lose        Kind = "lose"         // the share Part of the nodes' answers is never sent
-	Twice       Kind = "twice"        // the share Part of the answers is sent twice
-	WrongID     Kind = "wrong_id"     // the share Part of the answers is sent under an id that is not in flight
-	Fail        Kind = "fail"         // nodes fail the share Part of the commands at once
+	Lose        Kind = "lose"         // a share of the nodes' answers is never sent
+	Twice       Kind = "twice"        // a share of the answers is sent twice
+	WrongID     Kind = "wrong_id"     // a share of the answers is sent under an id that is not in flight
+	Fail        Kind = "fail"         // nodes fail a share of the commands at once
 	Full        Kind = "full"         // nodes reject every command
 	LateReports Kind = "late_reports" // load reports are refreshed only every By
 	Deaf        Kind = "deaf"         // nodes accept connections but never answer
@@ -54,12 +54,12 @@
 	Gateway int
 	Clients int
 	Plan    string
-	Factor  float64
-	Share   float64
+	Factor  float64 // by which load or processing time is multiplied
+	Share   float64 // of the answers or commands affected, or of the data that a link loses
 	By      time.Duration
 	Bytes   int
 	Zones   [2]int        // the zone of the gateways and that of the nodes
-	Jitter  time.Duration // of a link, whose delay is By, loss Part and bandwidth Bytes a second
+	Jitter  time.Duration // of a link, whose delay is By, loss Share and bandwidth Bytes a second
 	There   bool          // a cut link passes nothing towards the nodes
 	Back    bool          // a cut link passes nothing back from the nodes
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,7 +21,7 @@
 	Node         standin.NodeConfig // of every node; New sets its NQN and namespaces and adds its index to the seed
 	Volumes      []Volume
 	NodeZones    []int  // zone of each node; left out of the settings if empty
-	GatewayZones []int  // zone of each gateway; all 0 if only Zones is given
+	GatewayZones []int  // zone of each gateway; all 0 if only NodeZones is given
 	Links        bool   // gateways reach nodes of other zones over links that can be cut; see Link
 	Listed       bool   // the nodes are listed by a directory instead of the settings
 	Head         string // shared settings of all gateways: classes, plans, rules
