--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -325,7 +325,8 @@
 	}
 }
 
-// checkRepeats checks rule 2: a change that is not safe to retry takes effect at most once.
+// checkRepeats checks rule 2: a request whose class is not Retryable takes effect at most once, and not at all if it was
+// refused. One of a Fragile class is not sent again once it may have taken effect.
 func (a *auditor) checkRepeats() {
 	for _, p := range a.fragments {
 		cl := a.class(p.req)
