--- a/internal/gateway/marks.go
+++ b/internal/gateway/marks.go
@@ -30,7 +30,7 @@
 func (m *marks) Keep(k engine.Mark) {
 	m.store.Keep(m.record(k), func(err error) {
 		if err != nil {
-			m.log.Warn("a mark cannot be stored; changes that need it are refused", zap.Error(err))
+			m.log.Warn("a mark cannot be kept; changes that need it are refused", zap.Error(err))
 		}
 		m.engine.Kept(k, err == nil)
 	})
