--- a/internal/nvme/initiator/outcome.go
+++ b/internal/nvme/initiator/outcome.go
@@ -5,10 +5,10 @@
 	"appleplank/logic"
 )
 
-// outcomeByStatus is the only mapping from the status of a command to a logic.Outcome. Full, Moot and ConnectFailed
+// outcomeByStatus is the only mapping from the status of a command to a logic.Outcome. Full, NotSent and ConnectFailed
 // guarantee that the command was not executed; a command with a status that is not listed may have been executed.
 //
-//	connection broke before its sending started     Moot           (queue.go, failOutstanding)
+//	connection broke before its sending started     NotSent        (queue.go, failOutstanding)
 //	connection broke after that                     Reset          (queue.go, failOutstanding)
 //	not connected                                   ConnectFailed  (node.go, Start)
 //	no free slot in the queues                      Full           (node.go, Start)
--- a/internal/nvme/initiator/queue.go
+++ b/internal/nvme/initiator/queue.go
@@ -546,7 +546,7 @@
 }
 
 // handleR2T handles an R2T (TCP Transport, section 3.6.2.8). A dropped command gets no more data: its request has been
-// answered, and a write that gets its data now would overwrite later ones, long after the backoff of their key. Its
+// answered, and a write that gets its data now would overwrite later ones, long after the pause of their key. Its
 // identifier stays in use until the abort is answered or package links gives up the connection.
 func (q *queue) handleR2T(h *nvme.Header) error {
 	cid, tag, off, n := h.Transfer()
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery watches the list of targets over HTTP. [members.Follow] decides what the lists mean and when a
+// Package discovery watches the list of targets over HTTP. [members.Follower] decides what the lists mean and when a
 // watch is abandoned.
 package discovery
 
@@ -85,7 +85,7 @@
 	w.running.Wait()
 }
 
-// watchUntilDone watches again and again until ctx is done, with the pauses that [members.Follow] asks for.
+// watchUntilDone watches again and again until ctx is done, with the pauses that [members.Follower] asks for.
 func (w *Watch) watchUntilDone(ctx context.Context, address string, use int, onNews func()) {
 	for ctx.Err() == nil {
 		started := w.sink.Now()
