--- a/logic/state.go
+++ b/logic/state.go
@@ -84,7 +84,7 @@
 	maybeSeen       bool // a node may have seen it
 	mayStillArrive  bool // an attempt was given up and may still reach its node
 	notBefore       Micros
-	mayHaveRun      bool // an attempt may have run on a node on a node
+	mayHaveRun      bool // an attempt may have run on a node
 	dedupNode       *node
 	retryUntil      Micros // a retry must be sent before this
 	keyQueue        *keyQueue
@@ -122,7 +122,7 @@
 	attached     float64
 	balance      float64
 	creditedAt   Micros
-	virtualTime  float64 // virtual time in the second pass: units sent per weight: units sent per weight
+	virtualTime  float64 // virtual time in the second pass: units sent per weight
 	queues       []*cellQueue
 	queueLength  int
 	liveRequests int // requests that are still kept
